--- a/crates/gateway/src/stream/pump.rs
+++ b/crates/gateway/src/stream/pump.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on to its caller, event by event, over as many engines as it takes.
+//! Forwards a stream to its caller event by event, from as many engines as needed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,32 +8,33 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
 
-use super::{Attached, Streams, Tried, Used};
+use super::{AttachedStream, EngineAnswer, Streams, Tries};
 use crate::dialect::Dialect;
 use crate::events::Event;
-use crate::reply::Broken;
+use crate::reply::Truncated;
 use crate::request::CallerRequest;
 
-/// A resumable stream that is silent for this long goes on elsewhere, or for three of the pauses
-/// that its route allows if that is longer; callers leave after two seconds or eight such pauses.
-const STALL: Duration = Duration::from_millis(1_200);
+/// A resumable stream that sends nothing for this long, or for [`STALL_PAUSES`] of its route's
+/// pauses if that is longer, is resumed at another engine. Callers give up after two seconds or
+/// eight such pauses.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// See [`STALL`].
+/// See [`STALL_TIMEOUT`].
 const STALL_PAUSES: u32 = 3;
 
-/// Passes a stream on to its caller.
+/// Forwards a stream to its caller.
 pub(super) struct Pump<D: Dialect> {
     pub(super) streams: Arc<Streams<D>>,
     pub(super) service: Arc<str>,
     pub(super) request: CallerRequest,
-    pub(super) used: Used,
-    /// The last event that the caller was sent.
-    pub(super) last: Option<u64>,
-    pub(super) events: mpsc::Sender<Result<Bytes, Broken>>,
+    pub(super) tries: Tries,
+    /// The number of the last event sent to the caller.
+    pub(super) last_event: Option<u64>,
+    pub(super) events: mpsc::Sender<Result<Bytes, Truncated>>,
 }
 
-/// How a part of a stream ended.
-enum PartEnd {
+/// Why forwarding from one engine ended.
+enum ForwardEnd {
     Whole,
     CallerLeft,
     Late,
@@ -41,21 +42,21 @@
 }
 
 impl<D: Dialect> Pump<D> {
-    /// Passes events on until the stream ends, breaks off, or its caller leaves.
-    pub(super) async fn run(mut self, attached: Attached) {
+    /// Forwards events until the stream ends, fails, or its caller leaves.
+    pub(super) async fn run(mut self, attached: AttachedStream) {
         let mut attached = attached;
         loop {
             let (upstream, times) = (Arc::clone(&attached.upstream), attached.times);
             let shared = Arc::clone(&self.streams.shared);
-            let why = match self.pass(attached).await {
-                PartEnd::Whole => {
+            let why = match self.forward_events(attached).await {
+                ForwardEnd::Whole => {
                     upstream.succeeded();
-                    shared.suspects.completed(&self.request);
+                    shared.suspects.record_completed(&self.request);
                     return;
                 }
-                PartEnd::CallerLeft => return,
-                PartEnd::Late => "its time is over",
-                PartEnd::Lost(why) => {
+                ForwardEnd::CallerLeft => return,
+                ForwardEnd::Late => "its time is over",
+                ForwardEnd::Lost(why) => {
                     upstream.failed(false);
                     shared.suspects.lost(self.request.digest(), &upstream, times);
                     match self.resume(&upstream.id, why).await {
@@ -68,17 +69,18 @@
                 }
             };
             log::info!(request = self.request.ask.attempt.as_str(), upstream:% = upstream.id,
-                last = self.last, cause = why, digest:% = self.request.digest();
+                last = self.last_event, cause = why, digest:% = self.request.digest();
                 "a stream broke off");
-            // The caller sees the connection break, for the stream is not complete.
-            let _ = self.events.send(Err(Broken)).await;
+            // The stream is incomplete, so the caller's connection is closed without a proper end.
+            let _ = self.events.send(Err(Truncated)).await;
             return;
         }
     }
 
-    /// Passes on one engine's events.
-    async fn pass(&mut self, attached: Attached) -> PartEnd {
-        let Attached { mut body, lease, keep_alive, mut splitter, first, running, .. } = attached;
+    /// Forwards the events of one engine.
+    async fn forward_events(&mut self, attached: AttachedStream) -> ForwardEnd {
+        let AttachedStream { mut body, lease, keep_alive, mut splitter, first, running, .. } =
+            attached;
         let _running = running;
         let resumable = self.request.route.resumable;
         let mut next = first;
@@ -88,72 +90,74 @@
                     return end;
                 }
             }
-            let stall = Instant::now() + STALL.max(self.request.route.pause * STALL_PAUSES);
-            let by =
+            let stall = Instant::now() + STALL_TIMEOUT.max(self.request.route.pause * STALL_PAUSES);
+            let deadline =
                 if resumable { stall.min(self.request.deadline) } else { self.request.deadline };
             let frame = tokio::select! {
-                frame = timeout_at(by, body.frame()) => frame,
-                () = self.events.closed() => return PartEnd::CallerLeft,
+                frame = timeout_at(deadline, body.frame()) => frame,
+                () = self.events.closed() => return ForwardEnd::CallerLeft,
             };
             match frame {
                 Ok(Some(Ok(frame))) => splitter.push(&frame.into_data().unwrap_or_default()),
-                Ok(Some(Err(_))) => return PartEnd::Lost("connection lost"),
-                Ok(None) if splitter.has_rest() => return PartEnd::Lost("ended in an event"),
+                Ok(Some(Err(_))) => return ForwardEnd::Lost("connection lost"),
+                Ok(None) if splitter.has_partial_event() => {
+                    return ForwardEnd::Lost("ended in an event");
+                }
                 Ok(None) => {
                     lease.keep(keep_alive);
-                    return PartEnd::Whole;
+                    return ForwardEnd::Whole;
                 }
-                Err(_) if Instant::now() >= self.request.deadline => return PartEnd::Late,
-                Err(_) => return PartEnd::Lost("silent"),
+                Err(_) if Instant::now() >= self.request.deadline => return ForwardEnd::Late,
+                Err(_) => return ForwardEnd::Lost("silent"),
             }
         }
     }
 
-    /// Sends one event, unless the caller has it.
-    async fn send(&mut self, event: Event) -> Option<PartEnd> {
-        if let (Some(id), Some(last)) = (event.id, self.last) {
-            if id <= last {
+    /// Sends an event, unless the caller already has it.
+    async fn send(&mut self, event: Event) -> Option<ForwardEnd> {
+        if let (Some(id), Some(last_event)) = (event.id, self.last_event) {
+            if id <= last_event {
                 return None;
             }
-            if id > last + 1 {
-                return Some(PartEnd::Lost("an event is missing"));
+            if id > last_event + 1 {
+                return Some(ForwardEnd::Lost("an event is missing"));
             }
         }
         if event.id.is_some() {
-            self.last = event.id;
+            self.last_event = event.id;
         }
         let sent =
             tokio::time::timeout_at(self.request.deadline, self.events.send(Ok(event.bytes)));
         match sent.await {
             Ok(Ok(())) => None,
-            Ok(Err(_)) => Some(PartEnd::CallerLeft),
-            Err(_) => Some(PartEnd::Late),
+            Ok(Err(_)) => Some(ForwardEnd::CallerLeft),
+            Err(_) => Some(ForwardEnd::Late),
         }
     }
 
-    /// Goes on at another engine, where the route allows it.
-    async fn resume(&mut self, from: &str, why: &'static str) -> Option<Attached> {
+    /// Resumes the stream at another engine, if the route allows it.
+    async fn resume(&mut self, from: &str, why: &'static str) -> Option<AttachedStream> {
         let route = &self.request.route;
-        self.used.runs += 1;
-        self.used.arrived = true;
+        self.tries.runs += 1;
+        self.tries.reached_upstream = true;
         if !route.resumable
             || self.request.is_trial()
-            || self.used.runs >= route.attempts
-            || self.last.is_none()
+            || self.tries.runs >= route.attempts
+            || self.last_event.is_none()
         {
             return None;
         }
-        log::info!(request = self.request.ask.attempt.as_str(), upstream = from, last = self.last,
+        log::info!(request = self.request.ask.attempt.as_str(), upstream = from, last = self.last_event,
             cause = why, digest:% = self.request.digest(); "a stream goes on elsewhere");
         let streams = Arc::clone(&self.streams);
-        let next = streams.attach(&self.request, &self.service, &mut self.used, self.last);
+        let next = streams.attach(&self.request, &self.service, &mut self.tries, self.last_event);
         let next = tokio::select! {
             next = next => next,
             () = self.events.closed() => return None,
         };
         match next {
-            Ok(Tried::Stream(attached)) => Some(*attached),
-            Ok(Tried::Answer(_)) | Err(_) => None,
+            Ok(EngineAnswer::Stream(attached)) => Some(*attached),
+            Ok(EngineAnswer::Answer(_)) | Err(_) => None,
         }
     }
 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -1,7 +1,8 @@
-//! Requests under which upstreams end: what this entry saw of them, and whether one may be sent.
+//! Quarantine of requests under which upstreams crash: collects this entry's evidence, and decides
+//! whether a request may be sent.
 //!
-//! What goes wrong without it: a caller brings a request back that ends each upstream that runs it, and one
-//! upstream after the other ends, with all that others had under way there.
+//! Without it, a caller could repeat a request that crashes each upstream that runs it. One
+//! upstream after the other would end, with everything that others had in flight there.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -18,52 +19,55 @@
 use crate::request::CallerRequest;
 use crate::upstream::Upstream;
 
-/// When the upstream of a lost call is asked for a connection, after the loss and after the first answer. A
-/// process that ends closes its connections and its port some ms apart.
-const LOOKS: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(130)];
+/// The delays after which the upstream of a lost call is probed: the first after the loss, the
+/// second after the first probe. A process that ends closes its connections and its port some
+/// milliseconds apart.
+const PROBE_DELAYS: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(130)];
 
-/// How long an answer may take; none says nothing, for the way there may be cut.
-const LOOK_TIME: Duration = Duration::from_millis(250);
+/// How long a probe waits for an answer. No answer proves nothing, because the network path may be
+/// cut.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A run with events for this long is not suspected: what ends its upstream does so as it begins.
-const BEGINS: Duration = Duration::from_secs(1);
+/// A run whose first event is older than this is not suspected: a request that crashes its upstream
+/// does so as it begins.
+const CRASH_WINDOW: Duration = Duration::from_secs(1);
 
-/// How long a request waits for the leader's leave to be tried.
-const LEAVE: Duration = Duration::from_millis(300);
+/// How long a request waits for the leader to grant a trial.
+const TRIAL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The most runs that are told of one end.
-const MOST_RUNS: usize = 64;
+/// The maximum number of runs that are reported with one end of an upstream.
+const MAX_RUNS: usize = 64;
 
-/// A run at an upstream, as far as it matters if the upstream ends.
+/// The times of a run at an upstream that matter if the upstream ends.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunTimes {
-    /// When it was sent.
+    /// When the request was sent.
     pub(crate) sent: Instant,
-    /// When its first event came.
+    /// When the first event came, if it did.
     pub(crate) first: Option<Instant>,
 }
 
-/// Why a request is not sent.
+/// A request that may not be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct NotSent {
-    /// When it may be tried.
+pub(crate) struct Quarantined {
+    /// The time after which it may be tried.
     pub(crate) after: Duration,
 }
 
-/// What an entry knows and saw.
+/// The quarantine as this entry knows it, and the evidence that it collects.
 #[derive(Debug)]
-pub(crate) struct Suspects {
+pub(crate) struct Quarantine {
     known: watch::Receiver<Arc<Known>>,
     evidence: mpsc::Sender<Evidence>,
     own: SocketAddr,
     start: Instant,
-    /// Runs that were lost at upstreams that may have ended, until that is known.
+    /// Runs lost at upstreams that may have ended, until the probe of the upstream has finished.
     lost: Arc<Mutex<HashMap<Arc<str>, Vec<RunSeen>>>>,
-    /// The last trial of each request that was used.
+    /// The number of the last trial used of each request.
     trials: Mutex<HashMap<RequestDigest, u32>>,
 }
 
-impl Suspects {
+impl Quarantine {
     pub(crate) fn new(
         known: watch::Receiver<Arc<Known>>,
         evidence: mpsc::Sender<Evidence>,
@@ -73,31 +77,33 @@
         Self { known, evidence, own, start, lost: Arc::default(), trials: Mutex::default() }
     }
 
-    /// How many requests are not sent.
-    pub(crate) fn held(&self) -> usize {
+    /// Returns the number of requests in quarantine.
+    pub(crate) fn held_count(&self) -> usize {
         self.known.borrow().count()
     }
 
-    /// Whether a request may go on to an upstream now. One that is tried has its leave already.
-    pub(crate) fn check(&self, request: &CallerRequest) -> Result<(), NotSent> {
+    /// Checks whether a request may be sent to an upstream now. A request on trial already has
+    /// permission.
+    pub(crate) fn check(&self, request: &CallerRequest) -> Result<(), Quarantined> {
         let known = self.known.borrow();
         if known.is_empty() || request.is_trial() {
             return Ok(());
         }
         match known.standing(&request.digest(), Instant::now().into_std()) {
             Standing::Free | Standing::Watched => Ok(()),
-            Standing::Held(after) => Err(NotSent { after }),
-            Standing::Due => Err(NotSent { after: LEAVE }),
+            Standing::Held(after) => Err(Quarantined { after }),
+            Standing::Due => Err(Quarantined { after: TRIAL_TIMEOUT }),
         }
     }
 
-    /// Whether a request is not sent to upstreams now.
+    /// Returns whether a request may not be sent to upstreams now.
     pub(crate) fn is_held(&self, digest: &RequestDigest) -> bool {
         let known = self.known.borrow();
         matches!(self.standing(&known, digest), Standing::Held(_))
     }
 
-    /// Whether upstreams ended under a request, so that what is sent with it may be lost.
+    /// Returns whether upstreams ended under a request, so that what is sent together with it may
+    /// be lost.
     pub(crate) fn is_suspected(&self, digest: &RequestDigest) -> bool {
         let known = self.known.borrow();
         self.standing(&known, digest) != Standing::Free
@@ -110,8 +116,8 @@
         known.standing(digest, Instant::now().into_std())
     }
 
-    /// Decides about a request that has come; one whose time on the list is over may become a trial.
-    pub(crate) async fn admit(&self, request: &CallerRequest) -> Result<(), NotSent> {
+    /// Decides on an arriving request. One whose time in quarantine is over may become a trial.
+    pub(crate) async fn admit(&self, request: &CallerRequest) -> Result<(), Quarantined> {
         let standing = {
             let known = self.known.borrow();
             if known.is_empty() {
@@ -121,29 +127,29 @@
         };
         match standing {
             Standing::Free | Standing::Watched => Ok(()),
-            Standing::Held(after) => Err(NotSent { after }),
-            Standing::Due => self.try_once(request).await,
+            Standing::Held(after) => Err(Quarantined { after }),
+            Standing::Due => self.request_trial(request).await,
         }
     }
 
-    async fn try_once(&self, request: &CallerRequest) -> Result<(), NotSent> {
+    async fn request_trial(&self, request: &CallerRequest) -> Result<(), Quarantined> {
         let digest = request.digest();
-        self.tell(Evidence::Try(digest));
+        self.report(Evidence::Try(digest));
         let mut known = self.known.clone();
-        let granted = known.wait_for(|it| self.uses_trial(it, &digest));
-        match timeout(LEAVE, granted).await {
+        let granted = known.wait_for(|it| self.claim_trial(it, &digest));
+        match timeout(TRIAL_TIMEOUT, granted).await {
             Ok(Ok(_)) => {
                 log::info!(request = request.ask.attempt.as_str(), digest:% = digest;
                     "trying a held request");
                 request.set_trial();
                 Ok(())
             }
-            Ok(Err(_)) | Err(_) => Err(NotSent { after: LEAVE }),
+            Ok(Err(_)) | Err(_) => Err(Quarantined { after: TRIAL_TIMEOUT }),
         }
     }
 
-    /// Uses the trial that the leader granted to this entry, if no request has used it yet.
-    fn uses_trial(&self, known: &Known, digest: &RequestDigest) -> bool {
+    /// Claims the trial that the leader granted to this entry, if no request has used it yet.
+    fn claim_trial(&self, known: &Known, digest: &RequestDigest) -> bool {
         let Some(number) = known.trial(digest, self.own) else { return false };
         let mut trials = lock(&self.trials);
         if trials.get(digest).is_some_and(|it| *it >= number) {
@@ -153,8 +159,8 @@
         true
     }
 
-    /// Notes that a run ended with its upstream's whole answer.
-    pub(crate) fn completed(&self, request: &CallerRequest) {
+    /// Records that a run ended with the complete answer of its upstream.
+    pub(crate) fn record_completed(&self, request: &CallerRequest) {
         let digest = {
             let known = self.known.borrow();
             if known.is_empty() {
@@ -166,13 +172,13 @@
             }
             digest
         };
-        self.tell(Evidence::Completed(digest));
+        self.report(Evidence::Completed(digest));
     }
 
-    /// Notes that a run lost its connection, and looks whether its upstream has ended.
+    /// Records that a run lost its connection, and probes whether its upstream has ended.
     pub(crate) fn lost(&self, digest: RequestDigest, upstream: &Upstream, times: RunTimes) {
         let now = Instant::now();
-        if times.first.is_some_and(|it| now.duration_since(it) > BEGINS) {
+        if times.first.is_some_and(|it| now.duration_since(it) > CRASH_WINDOW) {
             return;
         }
         let age = now.duration_since(times.sent);
@@ -180,12 +186,12 @@
         let mut lost = lock(&self.lost);
         let is_first = !lost.contains_key(&upstream.id);
         let runs = lost.entry(Arc::clone(&upstream.id)).or_default();
-        if runs.len() < MOST_RUNS {
+        if runs.len() < MAX_RUNS {
             runs.push(run);
         }
         drop(lost);
         if is_first {
-            let look = Look {
+            let probe = CrashProbe {
                 upstream: Arc::clone(&upstream.id),
                 address: upstream.address,
                 start: self.start,
@@ -193,17 +199,17 @@
                 lost: Arc::clone(&self.lost),
                 evidence: self.evidence.clone(),
             };
-            tokio::spawn(look.run());
+            tokio::spawn(probe.run());
         }
     }
 
-    fn tell(&self, evidence: Evidence) {
-        tell(&self.evidence, evidence);
+    fn report(&self, evidence: Evidence) {
+        report(&self.evidence, evidence);
     }
 }
 
-/// Looks whether an upstream has ended.
-struct Look {
+/// Probes whether an upstream has ended.
+struct CrashProbe {
     upstream: Arc<str>,
     address: SocketAddr,
     /// When the entry started.
@@ -213,12 +219,12 @@
     evidence: mpsc::Sender<Evidence>,
 }
 
-impl Look {
+impl CrashProbe {
     async fn run(self) {
         let mut ended = false;
-        for pause in LOOKS {
-            sleep(pause).await;
-            ended = is_refused(self.address).await;
+        for delay in PROBE_DELAYS {
+            sleep(delay).await;
+            ended = refuses_connections(self.address).await;
             if ended {
                 break;
             }
@@ -233,19 +239,20 @@
         let upstream = self.upstream.to_string();
         let seen = EndSeen { upstream, ago_ms, runs, clock: None };
         let at_ms = self.at.duration_since(self.start).as_millis() as u64;
-        tell(&self.evidence, Evidence::EndedAt(at_ms, seen));
+        report(&self.evidence, Evidence::EndedAt(at_ms, seen));
     }
 }
 
-/// Whether nobody listens at an address. A way that is cut gives no answer, which proves nothing.
-async fn is_refused(address: SocketAddr) -> bool {
-    match timeout(LOOK_TIME, TcpStream::connect(address)).await {
+/// Returns whether connections to an address are refused because nothing listens there. A network
+/// path that is cut gives no answer, which proves nothing.
+async fn refuses_connections(address: SocketAddr) -> bool {
+    match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(_)) | Err(_) => false,
     }
 }
 
-fn tell(sender: &mpsc::Sender<Evidence>, evidence: Evidence) {
+fn report(sender: &mpsc::Sender<Evidence>, evidence: Evidence) {
     if let Err(error) = sender.try_send(evidence) {
         log::warn!(cause:% = error; "evidence against a request is lost");
     }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One life of an upstream: its connections, its load from here, and its health.
+//! One incarnation of an upstream: its connections, its load from this entry, and its health.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -18,64 +18,69 @@
 use crate::life::{Born, Life, Lives};
 use crate::place::score;
 
-/// How long opening a connection may take. A lost opening packet is sent again only after seconds,
-/// so a second try reaches the upstream sooner.
-const CONNECT: Duration = Duration::from_millis(250);
+/// The timeout for opening a connection. A lost SYN packet is sent again only after seconds, so a
+/// second try reaches the upstream sooner.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long an idle connection is kept where the upstream doesn't say.
-const IDLE: Duration = Duration::from_secs(4);
+/// How long an idle connection is kept if the upstream announces no keep-alive time.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
-/// How much earlier than announced an idle connection is given up: closing crosses with sending.
-const IDLE_MARGIN: Duration = Duration::from_millis(1_100);
+/// How much earlier than announced an idle connection is closed, because the upstream may close it
+/// while a request is being sent.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1_100);
 
-/// After how long without an acknowledgement a connection counts as dead. A connection can go
-/// silent without a reset, and only the kernel's own timer shows it to who waits for an answer.
-const SILENT: Duration = Duration::from_millis(1_500);
+/// How long sent bytes may stay unacknowledged before a connection counts as dead. A connection can
+/// go silent without a reset, and only the kernel's timer shows that to a task that waits for an
+/// answer.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The pause between two probes of an idle connection; the kernel counts in whole seconds.
-const PROBE: Duration = Duration::from_secs(1);
+/// The interval between two keep-alive probes of an idle connection; the kernel counts in whole
+/// seconds.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The first pause of an upstream that failed; it doubles with each failure in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(400);
+/// The base of the backoff of an ejected upstream, which is this times two to the power of the
+/// failures in a row that count.
+const BACKOFF_BASE: Duration = Duration::from_millis(400);
 
-/// The longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// The longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// How many failures in a row pause an upstream that still accepts connections.
-const FAILURES: u32 = 3;
+/// How many failures in a row an upstream that accepts connections may have before further ones
+/// eject it.
+const TOLERATED_FAILURES: u32 = 3;
 
-/// The sender of a connection.
+/// The request sender of an HTTP connection.
 pub(crate) type ConnectionSender = SendRequest<Full<Bytes>>;
 
-/// One life of an upstream.
+/// One incarnation of an upstream.
 #[derive(Debug)]
 pub struct Upstream {
-    /// The id of this life.
+    /// The id of this incarnation.
     pub id: Arc<str>,
-    /// A number drawn from the id, the same at every entry; orders upstreams for a prompt.
-    pub mark: u64,
-    /// Its service.
+    /// The hash of the id, the same at every entry; ranks upstreams for a prompt.
+    pub id_hash: u64,
+    /// The service of the upstream.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// How many requests it works on at once.
+    /// How many requests it runs at once.
     pub slots: u32,
     lives: Lives,
     draining: AtomicBool,
     running: AtomicU32,
     tokens: AtomicU64,
-    others: Others,
+    peer_load: PeerLoad,
     health: Mutex<Health>,
     idle: Mutex<Vec<Idle>>,
-    open: Arc<Semaphore>,
-    allowed: AtomicU32,
+    permits: Arc<Semaphore>,
+    connection_limit: AtomicU32,
 }
 
-/// What other entries have under way, as they told it last.
+/// The requests that other entries have in flight, as last reported.
 #[derive(Debug, Default)]
-struct Others {
+struct PeerLoad {
     running: AtomicU32,
     tokens: AtomicU64,
 }
@@ -83,7 +88,7 @@
 #[derive(Debug, Default)]
 struct Health {
     failures: u32,
-    paused: Option<Instant>,
+    ejected_until: Option<Instant>,
 }
 
 #[derive(Debug)]
@@ -91,27 +96,28 @@
     sender: ConnectionSender,
     task: AbortHandle,
     permit: OwnedSemaphorePermit,
-    until: Instant,
+    expires: Instant,
 }
 
-/// Why no connection could be had. Nothing was sent.
+/// Why no connection is available. No byte of the request was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoConnection {
-    /// The upstream refused.
+pub(crate) enum ConnectError {
+    /// The upstream refused the connection.
     Refused,
-    /// The upstream did not answer in time.
-    Silent,
-    /// This entry's share of its connections is in use.
-    Full,
+    /// The connection was not established in time.
+    TimedOut,
+    /// All connections that this entry may have are in use.
+    LimitReached,
 }
 
 impl Upstream {
-    /// Makes an upstream from its listing, with `connections` for this entry.
+    /// Creates an upstream from its listing, with at most `connections` connections from this
+    /// entry.
     pub fn new(listed: &registry::Upstream, connections: u32) -> Self {
-        let allowed = connections.max(1);
+        let connection_limit = connections.max(1);
         Self {
             id: listed.id.as_str().into(),
-            mark: score(0, &listed.id),
+            id_hash: score(0, &listed.id),
             service: listed.service.as_str().into(),
             address: listed.address,
             domain: listed.domain.as_str().into(),
@@ -120,147 +126,153 @@
             draining: AtomicBool::new(listed.health == registry::Health::Draining),
             running: AtomicU32::new(0),
             tokens: AtomicU64::new(0),
-            others: Others::default(),
+            peer_load: PeerLoad::default(),
             health: Mutex::default(),
             idle: Mutex::default(),
-            open: Arc::new(Semaphore::new(allowed as usize)),
-            allowed: AtomicU32::new(allowed),
+            permits: Arc::new(Semaphore::new(connection_limit as usize)),
+            connection_limit: AtomicU32::new(connection_limit),
         }
     }
 
-    /// Marks it as leaving; it gets no new work.
+    /// Sets whether the upstream is draining; a draining one gets no new requests.
     pub fn set_draining(&self, draining: bool) {
         self.draining.store(draining, Ordering::Relaxed);
     }
 
-    /// Raises this entry's share of its connections; a lower one comes with the next life.
-    pub fn allow(&self, connections: u32) {
-        let before = self.allowed.fetch_max(connections, Ordering::Relaxed);
-        if connections > before {
-            self.open.add_permits((connections - before) as usize);
+    /// Raises the limit of this entry's connections. A lower limit takes effect only with the next
+    /// incarnation.
+    pub fn raise_connection_limit(&self, connections: u32) {
+        let previous = self.connection_limit.fetch_max(connections, Ordering::Relaxed);
+        if connections > previous {
+            self.permits.add_permits((connections - previous) as usize);
         }
     }
 
-    /// Whether it may get new work.
+    /// Returns whether the upstream may get new requests.
     pub fn is_open(&self) -> bool {
         !self.draining.load(Ordering::Relaxed)
     }
 
-    /// Whether it is passed over for its failures.
+    /// Returns whether the upstream is ejected because of failures.
     pub fn is_paused(&self, now: Instant) -> bool {
         let health = self.health.lock().unwrap_or_else(PoisonError::into_inner);
-        health.paused.is_some_and(|it| now < it)
+        health.ejected_until.is_some_and(|it| now < it)
     }
 
-    /// The requests of this entry that it works on.
+    /// Returns the number of this entry's requests that it runs.
     pub fn running(&self) -> u32 {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// The prompt tokens of this entry's requests that have no first event yet.
+    /// Returns the number of prompt tokens of this entry's requests that have no first event yet.
     pub fn tokens(&self) -> u64 {
         self.tokens.load(Ordering::Relaxed)
     }
 
-    /// Takes what other entries have under way.
-    pub(crate) fn set_others(&self, running: u32, tokens: u64) {
-        self.others.running.store(running, Ordering::Relaxed);
-        self.others.tokens.store(tokens, Ordering::Relaxed);
+    /// Sets the load that other entries have in flight.
+    pub(crate) fn set_peer_load(&self, running: u32, tokens: u64) {
+        self.peer_load.running.store(running, Ordering::Relaxed);
+        self.peer_load.tokens.store(tokens, Ordering::Relaxed);
     }
 
-    /// The requests of all entries that it works on.
-    pub fn running_all(&self) -> u32 {
-        self.running() + self.others.running.load(Ordering::Relaxed)
+    /// Returns the number of requests of all entries that it runs.
+    pub fn total_running(&self) -> u32 {
+        self.running() + self.peer_load.running.load(Ordering::Relaxed)
     }
 
-    /// The prompt tokens of all entries' requests that have no first event yet.
-    pub fn tokens_all(&self) -> u64 {
-        self.tokens() + self.others.tokens.load(Ordering::Relaxed)
+    /// Returns the number of prompt tokens of all entries' requests that have no first event yet.
+    pub fn total_tokens(&self) -> u64 {
+        self.tokens() + self.peer_load.tokens.load(Ordering::Relaxed)
     }
 
-    /// Counts a request with `tokens` to be read, until the guard is dropped.
-    pub(crate) fn begin(self: &Arc<Self>, tokens: u64) -> Running {
+    /// Counts a request with `tokens` unread prompt tokens until the returned guard is dropped.
+    pub(crate) fn begin_request(self: &Arc<Self>, tokens: u64) -> RunningRequest {
         self.running.fetch_add(1, Ordering::Relaxed);
         self.tokens.fetch_add(tokens, Ordering::Relaxed);
-        Running { upstream: Arc::clone(self), tokens }
+        RunningRequest { upstream: Arc::clone(self), tokens }
     }
 
-    /// Takes the birth that a message of it tells. With a new life its failures are forgotten, and
-    /// idle connections to the one before are closed.
+    /// Compares the start time in a message from the upstream with the known one. With a newer
+    /// incarnation, the failures are forgotten and idle connections to the older one are closed.
     pub fn observe(&self, born: Option<Born>) -> Life {
         let life = self.lives.observe(born);
         if life == Life::New {
             log::info!(upstream:% = self.id, born:% = born.map_or(0, |it| it.0);
                 "an upstream has started again");
             *self.health.lock().unwrap_or_else(PoisonError::into_inner) = Health::default();
-            self.sweep(true);
+            self.close_idle(true);
         }
         life
     }
 
-    /// Notes a success.
+    /// Records a success, which ends an ejection.
     pub(crate) fn succeeded(&self) {
         let mut health = self.health.lock().unwrap_or_else(PoisonError::into_inner);
-        if health.paused.take().is_some() {
+        if health.ejected_until.take().is_some() {
             log::info!(upstream:% = self.id; "an upstream works again");
         }
         health.failures = 0;
     }
 
-    /// Notes a failure; `hard` where it can't be reached at all.
+    /// Records a failure, and ejects the upstream after too many. `hard` means that it can't be
+    /// reached at all, which ejects it at once.
     pub(crate) fn failed(&self, hard: bool) {
         let mut health = self.health.lock().unwrap_or_else(PoisonError::into_inner);
         health.failures += 1;
-        let excess = if hard { health.failures } else { health.failures.saturating_sub(FAILURES) };
-        if excess == 0 {
+        let counted =
+            if hard { health.failures } else { health.failures.saturating_sub(TOLERATED_FAILURES) };
+        if counted == 0 {
             return;
         }
-        let pause = (FIRST_PAUSE * (1 << excess.min(4))).min(LONGEST_PAUSE);
-        if health.paused.is_none() {
+        let backoff = (BACKOFF_BASE * (1 << counted.min(4))).min(MAX_BACKOFF);
+        if health.ejected_until.is_none() {
             log::warn!(upstream:% = self.id, service:% = self.service, failures = health.failures,
-                hard, ms = pause.as_millis() as u64; "an upstream fails and is passed over");
+                hard, ms = backoff.as_millis() as u64; "an upstream fails and is passed over");
         }
-        health.paused = Some(Instant::now() + pause);
+        health.ejected_until = Some(Instant::now() + backoff);
     }
 
-    /// Takes a connection: an idle one, or a new one by `by`.
-    pub(crate) async fn connect(self: &Arc<Self>, by: Instant) -> Result<Lease, NoConnection> {
+    /// Returns an idle connection, or opens a new one before `deadline`.
+    pub(crate) async fn connect(
+        self: &Arc<Self>,
+        deadline: Instant,
+    ) -> Result<Lease, ConnectError> {
         if let Some(lease) = self.take_idle() {
             return Ok(lease);
         }
-        let by = by.min(Instant::now() + CONNECT);
-        let permit = timeout_at(by, Arc::clone(&self.open).acquire_owned()).await;
-        let Ok(Ok(permit)) = permit else { return Err(NoConnection::Full) };
+        let deadline = deadline.min(Instant::now() + CONNECT_TIMEOUT);
+        let permit = timeout_at(deadline, Arc::clone(&self.permits).acquire_owned()).await;
+        let Ok(Ok(permit)) = permit else { return Err(ConnectError::LimitReached) };
         if let Some(lease) = self.take_idle() {
             return Ok(lease);
         }
-        let opened = timeout_at(by, open(self.address)).await;
+        let opened = timeout_at(deadline, open(self.address)).await;
         let (sender, task) = match opened {
             Ok(opened) => opened?,
-            Err(_) => return Err(NoConnection::Silent),
+            Err(_) => return Err(ConnectError::TimedOut),
         };
-        Ok(Lease { upstream: Arc::clone(self), parts: Some((sender, task, permit)) })
+        Ok(Lease { upstream: Arc::clone(self), connection: Some((sender, task, permit)) })
     }
 
     fn take_idle(self: &Arc<Self>) -> Option<Lease> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
         while let Some(it) = idle.pop() {
-            if it.sender.is_ready() && now < it.until {
-                let parts = Some((it.sender, it.task, it.permit));
-                return Some(Lease { upstream: Arc::clone(self), parts });
+            if it.sender.is_ready() && now < it.expires {
+                let connection = Some((it.sender, it.task, it.permit));
+                return Some(Lease { upstream: Arc::clone(self), connection });
             }
             it.task.abort();
         }
         None
     }
 
-    /// Closes the idle connections that are due, or all.
-    pub(crate) fn sweep(&self, all: bool) {
+    /// Closes idle connections: all of them, or those whose time is over.
+    pub(crate) fn close_idle(&self, all: bool) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
         idle.retain(|it| {
-            let keep = !all && now < it.until && !it.sender.is_closed();
+            let keep = !all && now < it.expires && !it.sender.is_closed();
             if !keep {
                 it.task.abort();
             }
@@ -269,87 +281,88 @@
     }
 }
 
-async fn open(address: SocketAddr) -> Result<(ConnectionSender, AbortHandle), NoConnection> {
-    let refused = |_| NoConnection::Refused;
+async fn open(address: SocketAddr) -> Result<(ConnectionSender, AbortHandle), ConnectError> {
+    let refused = |_| ConnectError::Refused;
     let stream = TcpStream::connect(address).await.map_err(refused)?;
-    let keepalive = TcpKeepalive::new().with_time(SILENT).with_interval(PROBE);
+    let keepalive =
+        TcpKeepalive::new().with_time(TCP_USER_TIMEOUT).with_interval(KEEPALIVE_INTERVAL);
     let socket = SockRef::from(&stream);
-    let tuned = stream
+    let configured = stream
         .set_nodelay(true)
-        .and_then(|()| socket.set_tcp_user_timeout(Some(SILENT)))
+        .and_then(|()| socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)))
         .and_then(|()| socket.set_tcp_keepalive(&keepalive.with_retries(2)));
-    tuned.map_err(refused)?;
+    configured.map_err(refused)?;
     let (sender, connection) = http1::Builder::new()
         .max_buf_size(64 << 10)
         .handshake(TokioIo::new(stream))
         .await
-        .map_err(|_| NoConnection::Refused)?;
+        .map_err(|_| ConnectError::Refused)?;
     let task = tokio::spawn(async move {
-        // The sender's side sees the cause.
+        // The request sender reports the cause of an error.
         let _ = connection.await;
     });
     Ok((sender, task.abort_handle()))
 }
 
-/// A connection in use. Dropped before its answer has ended, it is closed, which ends the work at
-/// the upstream.
+/// A connection in use. If it is dropped before its answer has ended, it is closed, which makes the
+/// upstream cancel the request.
 #[derive(Debug)]
 pub(crate) struct Lease {
     upstream: Arc<Upstream>,
-    parts: Option<(ConnectionSender, AbortHandle, OwnedSemaphorePermit)>,
+    connection: Option<(ConnectionSender, AbortHandle, OwnedSemaphorePermit)>,
 }
 
 impl Lease {
-    /// The connection's sender.
+    /// Returns the request sender of the connection.
     pub(crate) fn sender(&mut self) -> Option<&mut ConnectionSender> {
-        self.parts.as_mut().map(|it| &mut it.0)
+        self.connection.as_mut().map(|it| &mut it.0)
     }
 
-    /// Keeps the connection for the next request, once the answer has ended as it should.
+    /// Keeps the connection for later requests. To be called after the answer has ended properly.
     pub(crate) fn keep(mut self, keep_alive: Option<Duration>) {
-        let Some((mut sender, task, permit)) = self.parts.take() else { return };
+        let Some((mut sender, task, permit)) = self.connection.take() else { return };
         let upstream = Arc::clone(&self.upstream);
         let keep = match keep_alive {
-            Some(it) => it.checked_sub(IDLE_MARGIN).unwrap_or(Duration::from_millis(300)),
-            None => IDLE,
+            Some(it) => it.checked_sub(KEEP_ALIVE_MARGIN).unwrap_or(Duration::from_millis(300)),
+            None => DEFAULT_KEEP_ALIVE,
         };
         tokio::spawn(async move {
-            // Bytes after the answer end the connection here; it is never used again.
+            // Bytes after the answer are an error: the connection ends here and is not used again.
             if sender.ready().await.is_err() || !upstream.is_open() {
                 task.abort();
                 return;
             }
-            let until = Instant::now() + keep;
+            let expires = Instant::now() + keep;
             let mut idle = upstream.idle.lock().unwrap_or_else(PoisonError::into_inner);
-            idle.push(Idle { sender, task, permit, until });
+            idle.push(Idle { sender, task, permit, expires });
         });
     }
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        if let Some((_, task, _)) = &self.parts {
+        if let Some((_, task, _)) = &self.connection {
             task.abort();
         }
     }
 }
 
-/// A request at work at an upstream.
+/// Counts a request as running at an upstream until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Running {
+pub(crate) struct RunningRequest {
     upstream: Arc<Upstream>,
     tokens: u64,
 }
 
-impl Running {
-    /// Notes that the prompt is read.
-    pub(crate) fn started(&mut self) {
+impl RunningRequest {
+    /// Records that the prompt has been read.
+    pub(crate) fn prompt_read(&mut self) {
         self.upstream.tokens.fetch_sub(self.tokens, Ordering::Relaxed);
         self.tokens = 0;
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         self.upstream.tokens.fetch_sub(self.tokens, Ordering::Relaxed);
         self.upstream.running.fetch_sub(1, Ordering::Relaxed);
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -1,12 +1,12 @@
-//! Which requests are taken, by what their stages are likely to take.
+//! Which requests are admitted, by the expected time of their stages.
 
 use std::time::Duration;
 
-use gateway::admission::{Forecast, Terms, Verdict, admit};
+use gateway::admission::{Forecast, Requirements, Verdict, admit};
 
 struct Case {
     name: &'static str,
-    /// Plain, timely and late, in ms.
+    /// The forecast without a wait, behind timely pieces and behind all pieces, in ms.
     forecast: [u64; 3],
     priority: u8,
     verdict: Verdict,
@@ -64,21 +64,21 @@
     },
 ];
 
-/// Symptom: for seconds after a burst the least urgent requests are refused, though upstreams could have
-/// answered them in time.
-/// Sequence: late pieces of the burst wait; new requests come at the usual rate.
-/// Cause: the late pieces count as ahead of the new ones, which go before them.
+/// Guards against refusing the least urgent requests for seconds after a burst, although upstreams
+/// could answer them in time. Late pieces of the burst are queued while new requests come at the
+/// usual rate. This happens if the late pieces count as ahead of the new ones, which are served
+/// first.
 #[test]
 fn requests_are_taken_by_when_they_would_be_done() {
     for case in CASES {
-        let [plain, timely, late] = case.forecast.map(Duration::from_millis);
-        let terms = Terms {
+        let [unqueued, behind_timely, behind_all] = case.forecast.map(Duration::from_millis);
+        let requirements = Requirements {
             age: Duration::ZERO,
             target: Duration::from_millis(2_000),
             patience: Duration::from_millis(10_000),
             priority: case.priority,
         };
-        let verdict = admit(&Forecast { plain, timely, late }, &terms);
+        let verdict = admit(&Forecast { unqueued, behind_timely, behind_all }, &requirements);
         assert_eq!(verdict, case.verdict, "{}", case.name);
     }
 }
--- a/crates/gateway/tests/pure.rs
+++ b/crates/gateway/tests/pure.rs
@@ -1,17 +1,17 @@
-//! Decisions without sockets: events, lengths, places, budgets.
+//! Decisions without sockets: events, lengths, placement, budgets.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use gateway::Upstream;
+use gateway::body_memory::MemoryBudget;
 use gateway::budget::{Budget, BudgetSpec};
 use gateway::dialect::{Generation, PromptPart};
-use gateway::events::Splitter;
-use gateway::guard::Scanner;
+use gateway::events::EventSplitter;
+use gateway::guard::HeadScanner;
 use gateway::life::{Born, Life};
-use gateway::pace::Paces;
-use gateway::place::{Load, Placing, place};
-use gateway::room::Room;
+use gateway::place::{Load, Placement, place};
+use gateway::prefill::PrefillTimes;
 use tokio::time::Instant;
 
 struct EventCase {
@@ -53,7 +53,7 @@
 #[test]
 fn events_come_out_whole() {
     for case in EVENTS {
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let mut ids = Vec::new();
         for read in case.reads {
             splitter.push(read.as_bytes());
@@ -62,7 +62,7 @@
             }
         }
         assert_eq!(ids, case.ids, "{}", case.name);
-        assert_eq!(splitter.has_rest(), case.rest, "{}", case.name);
+        assert_eq!(splitter.has_partial_event(), case.rest, "{}", case.name);
     }
 }
 
@@ -101,13 +101,13 @@
     },
 ];
 
-/// Symptom: an upstream runs a request that no caller sent.
-/// Sequence: a head gives a length and chunks; the body holds a request after its chunks.
-/// Cause: the rest of the body is taken for the connection's next request.
+/// Guards against an upstream that runs a request that no caller sent. A head gives both a length
+/// and chunked encoding, and the body has a request after its last chunk, which would be taken for
+/// the connection's next request.
 #[test]
 fn a_head_with_two_lengths_is_seen() {
     for case in LENGTHS {
-        let mut scanner = Scanner::default();
+        let mut scanner = HeadScanner::default();
         let seen = case.reads.iter().any(|it| scanner.push(it.as_bytes()));
         assert_eq!(seen, case.conflict, "{}", case.name);
     }
@@ -140,8 +140,8 @@
     1.0
 }
 
-fn placing(parts: &[PromptPart]) -> Placing<'_> {
-    Placing { parts, left: Duration::from_millis(800), domain: None, token_ms: 0.02 }
+fn placement(parts: &[PromptPart]) -> Placement<'_> {
+    Placement { parts, left: Duration::from_millis(800), domain: None, token_ms: 0.02 }
 }
 
 #[test]
@@ -152,95 +152,96 @@
     let mut used = std::collections::BTreeSet::new();
     for deep in 0..200 {
         let parts = prompt(7, deep * 31);
-        let here = place(&placing(&parts), &all, even, idle).expect("an upstream");
-        let there = place(&placing(&parts), &reversed, even, idle).expect("an upstream");
+        let here = place(&placement(&parts), &all, even, idle).expect("an upstream");
+        let there = place(&placement(&parts), &reversed, even, idle).expect("an upstream");
         assert_eq!(here.id, there.id, "two entries differ");
         used.insert(Arc::clone(&here.id));
     }
     assert!(used.len() >= 10, "the sessions of a first part use {} upstreams", used.len());
 }
 
-/// Where a prompt goes, from the first in rank.
+/// Where a prompt goes, relative to the upstream that is first in rank.
 #[derive(Debug, PartialEq)]
-enum Goes {
+enum Destination {
     Home,
-    /// To another one in the domain of the inputs.
+    /// To another upstream in the failure domain of the inputs.
     Near,
     Away,
 }
 
 struct PlaceCase {
     name: &'static str,
-    /// Tokens that wait at the first in rank, at others in the domain of the inputs, and elsewhere.
+    /// The unread tokens at the first in rank, at others in the domain of the inputs, and
+    /// elsewhere.
     waiting: [f64; 3],
     running: f64,
-    goes: Goes,
+    destination: Destination,
 }
 
-/// At 0.02 ms a token and 800 ms left, 29,000 tokens fill the time.
+/// At 0.02 ms per token and 800 ms left, 29,000 tokens fill the time.
 const PLACES: &[PlaceCase] = &[
-    PlaceCase { name: "all idle", waiting: [0.0; 3], running: 0.0, goes: Goes::Home },
+    PlaceCase { name: "all idle", waiting: [0.0; 3], running: 0.0, destination: Destination::Home },
     PlaceCase {
         name: "busy, yet in time",
         waiting: [20_000.0, 0.0, 0.0],
         running: 9.0,
-        goes: Goes::Home,
+        destination: Destination::Home,
     },
     PlaceCase {
         name: "not in time",
         waiting: [40_000.0, 0.0, 0.0],
         running: 0.0,
-        goes: Goes::Near,
+        destination: Destination::Near,
     },
     PlaceCase {
         name: "all near are full",
         waiting: [40_000.0, 40_000.0, 0.0],
         running: 0.0,
-        goes: Goes::Away,
+        destination: Destination::Away,
     },
     PlaceCase {
         name: "none is in time",
         waiting: [90_000.0, 80_000.0, 70_000.0],
         running: 0.0,
-        goes: Goes::Away,
+        destination: Destination::Away,
     },
     PlaceCase {
         name: "in time elsewhere, for too small a gain",
         waiting: [30_000.0, 24_000.0, 24_000.0],
         running: 0.0,
-        goes: Goes::Home,
+        destination: Destination::Home,
     },
     PlaceCase {
         name: "none, and home is soonest",
         waiting: [50_000.0, 80_000.0, 70_000.0],
         running: 0.0,
-        goes: Goes::Home,
+        destination: Destination::Home,
     },
 ];
 
-/// Symptom: first events of long prompts are late in a burst while other upstreams have little to do,
-/// or shared parts are read again everywhere.
-/// Sequence: some long prompts go to one upstream within a second; it runs few requests, so the next
-/// one follows them there.
-/// Cause: load was a count of requests of all entries, with the tokens of one's own alone.
+/// Guards against late first events of long prompts in a burst while other upstreams are nearly
+/// idle, and against shared parts that are read again everywhere. Several long prompts go to one
+/// upstream within a second; it runs few requests, so the next prompt would follow them. This
+/// happens if the load is a count of all entries' requests with the tokens of the entry's own
+/// requests only.
 #[test]
 fn a_prompt_leaves_its_upstream_only_to_be_in_time() {
     let all = upstreams(12);
     for case in PLACES {
         let parts = prompt(7, 9);
-        let home = Arc::clone(place(&placing(&parts), &all, even, idle).expect("an upstream"));
+        let home = Arc::clone(place(&placement(&parts), &all, even, idle).expect("an upstream"));
         let load = |it: &Upstream| {
             let at = if it.id == home.id { 0 } else { 1 + usize::from(it.domain != home.domain) };
             Load { running: case.running, tokens: case.waiting[at] }
         };
-        let asked = Placing { domain: Some(&home.domain), ..placing(&parts) };
+        let asked = Placement { domain: Some(&home.domain), ..placement(&parts) };
         let chosen = place(&asked, &all, even, load).expect("an upstream");
-        let goes = match (chosen.id == home.id, chosen.domain == home.domain) {
-            (true, _) => Goes::Home,
-            (false, true) => Goes::Near,
-            (false, false) => Goes::Away,
+        let destination = match (chosen.id == home.id, chosen.domain == home.domain) {
+            (true, _) => Destination::Home,
+            (false, true) => Destination::Near,
+            (false, false) => Destination::Away,
         };
-        assert_eq!(goes, case.goes, "{}", case.name);
+        assert_eq!(destination, case.destination, "{}", case.name);
     }
 }
 
@@ -250,7 +251,7 @@
     let heavy = |it: &Upstream| if &*it.domain == "d-0" { 2.0 } else { 0.5 };
     let at_heavy = (0..300u64).filter(|it| {
         let parts = prompt(it * 977, it * 31);
-        let chosen = place(&placing(&parts), &all, heavy, idle);
+        let chosen = place(&placement(&parts), &all, heavy, idle);
         chosen.is_some_and(|it| &*it.domain == "d-0")
     });
     // Two thirds of the weight; the bounds are six standard deviations wide.
@@ -268,7 +269,7 @@
         budget.request(&service, start);
     }
     let granted = (0..100).filter(|_| budget.take(&service, 1, 8, start)).count();
-    // A fifth of 100 requests and an eighth of the burst.
+    // A fifth of 100 requests, and an eighth of the burst.
     assert!(granted <= 25, "{granted} repeats");
     assert!(granted >= 18, "{granted} repeats");
     let later = start + Duration::from_secs(11);
@@ -276,32 +277,32 @@
     assert!(again <= 5, "{again} repeats of no request");
 }
 
-/// Symptom: in a burst the longest prompts are refused, or all prompts leave the upstreams that hold
-/// their parts.
-/// Sequence: most prompts wait for others at their engine, a fifth meet an idle one.
-/// Cause: the time to read a token is taken from the mean, waits included.
+/// Guards against refusing the longest prompts of a burst, and against prompts that leave the
+/// upstreams holding their parts. Most prompts wait for others at their engine, a fifth meet an
+/// idle one; a reading time taken from the mean would include the waits.
 #[test]
 fn reading_by_itself_is_told_from_waiting() {
-    let paces = Paces::default();
+    let times = PrefillTimes::default();
     let service: Arc<str> = "s".into();
     let parts = vec![PromptPart { id: 1, tokens: 10_000 }];
     let prompt = Generation { prompt: 10_000, output: 100, parts };
     for turn in 0..200 {
-        // 0.02 ms a token by itself, and three times as long for four of five.
+        // 0.02 ms per token at an idle engine, and three times as long for four of five prompts.
         let took = if turn % 5 == 0 { 220 } else { 620 };
-        paces.learn(&service, &prompt, Duration::from_millis(took));
+        times.record(&service, &prompt, Duration::from_millis(took));
     }
-    let bare = paces.token_ms("s");
-    assert!((0.014..0.035).contains(&bare), "{bare} ms a token");
-    let (least, likely) = (paces.least("s", &prompt), paces.first_event("s", &prompt));
-    assert!(least * 2 < likely, "{least:?} by itself, {likely:?} in the mean");
+    let unloaded = times.token_ms("s");
+    assert!((0.014..0.035).contains(&unloaded), "{unloaded} ms a token");
+    let (idle, likely) =
+        (times.unloaded_first_event("s", &prompt), times.expected_first_event("s", &prompt));
+    assert!(idle * 2 < likely, "{idle:?} by itself, {likely:?} in the mean");
 }
 
 struct LifeCase {
     name: &'static str,
-    /// What messages tell, in the order in which they come.
+    /// The start times in the messages, in the order in which they arrive.
     told: &'static [Option<u64>],
-    /// What the last of them is.
+    /// The result for the last message.
     last: Life,
 }
 
@@ -314,9 +315,9 @@
     LifeCase { name: "after a late word", told: &[Some(9), Some(7), Some(9)], last: Life::Same },
 ];
 
-/// Symptom: requests are given results that are gone, or a sound upstream loses what it is known for.
-/// Sequence: an upstream starts again under its id; answers of both lives arrive out of order.
-/// Cause: the id alone doesn't tell which life an answer is of.
+/// Guards against requests that get results that are gone, and against a working upstream whose
+/// state is discarded. An upstream restarts under the same id, and answers of both incarnations
+/// arrive out of order; the id alone doesn't tell them apart.
 #[test]
 fn lives_under_one_id_are_told_apart() {
     for case in LIVES {
@@ -326,13 +327,13 @@
     }
 }
 
-/// Symptom: an entry runs out of memory and is killed with all it has under way.
-/// Sequence: many callers send large bodies, slowly, at the same time.
-/// Cause: each body is bounded and their sum is not, or room that was given up stays taken.
+/// Guards against an entry that runs out of memory and is killed with everything it has in flight.
+/// Many callers send large bodies slowly and at the same time. This happens if each body is limited
+/// but not their sum, or if memory that was released stays counted.
 #[test]
 fn bodies_together_stay_within_their_room() {
-    let room = Room::new(10);
-    let (mut one, mut two) = (room.hold(), room.hold());
+    let body_memory = MemoryBudget::new(10);
+    let (mut one, mut two) = (body_memory.reserve(), body_memory.reserve());
     assert!(one.grow(6));
     assert!(!two.grow(5), "more than there is");
     assert!(two.grow(4));
@@ -340,5 +341,5 @@
     drop(one);
     assert!(two.grow(6), "the room of a body that is gone is free again");
     drop(two);
-    assert!(room.hold().grow(10));
+    assert!(body_memory.reserve().grow(10));
 }
--- a/crates/gateway/tests/section.rs
+++ b/crates/gateway/tests/section.rs
@@ -1,4 +1,4 @@
-//! Into which sections a service is split, and which one a job goes to.
+//! Which sections a service is split into, and which one a job goes to.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,7 +34,7 @@
     upstreams: &'static [(&'static str, usize)],
     entries: usize,
     megabits: f64,
-    /// The domains of the sections; none for a service that stays whole.
+    /// The domains of the sections; empty if the service is not split.
     domains: &'static [&'static str],
 }
 
@@ -91,10 +91,10 @@
 
 struct ChoiceCase {
     name: &'static str,
-    /// The wait in the domains a, b and c, in ms.
+    /// The waits in the domains a, b and c, in ms.
     waits: [u64; 3],
     home: Option<&'static str>,
-    /// How many of 1,000 jobs go to each.
+    /// How many of 1,000 jobs go to each domain.
     chosen: [usize; 3],
 }
 
@@ -126,10 +126,10 @@
     ChoiceCase { name: "no domain", waits: [300, 0, 100], home: None, chosen: [0, 1_000, 0] },
 ];
 
-/// Symptom: jobs wait in one domain while upstreams of another have nothing to do, or the wait moves from
-/// domain to domain.
-/// Sequence: callers of one domain send more than its upstreams can make.
-/// Cause: no job leaves its domain, or all leave at once to where the wait was shortest.
+/// Guards against jobs that wait in one domain while upstreams of another are idle, and against a
+/// queue that moves from domain to domain. The callers of one domain send more than its upstreams
+/// can handle. The first happens if no job leaves its domain, the second if all jobs leave at once
+/// to the domain whose wait was shortest.
 #[test]
 fn jobs_leave_a_long_wait_in_part() {
     let names = ["a", "b", "c"];
