--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -43,7 +43,7 @@
             Cause::Refused(status) => write!(f, "refused with {status}"),
             Cause::Lost => f.write_str("connection lost"),
             Cause::Timeout => f.write_str("no answer in time"),
-            Cause::Malformed(why) => write!(f, "not the answer: {why}"),
+            Cause::Malformed(why) => write!(f, "invalid answer: {why}"),
         }
     }
 }
@@ -91,7 +91,7 @@
 pub(crate) struct Opened {
     pub(crate) response: Response<Incoming>,
     pub(crate) lease: Lease,
-    pub(crate) marks: AnswerMarks,
+    pub(crate) head: AnswerMarks,
 }
 
 /// Sends a request and waits for the head of its answer.
@@ -123,8 +123,8 @@
             },
             Err(_) => return Err(Fault::unknown(Cause::Timeout)),
         };
-        let marks = D::answer(response.status(), response.headers(), attempt);
-        return Ok(Opened { response, lease, marks });
+        let head = D::answer(response.status(), response.headers(), attempt);
+        return Ok(Opened { response, lease, head });
     }
 }
 
@@ -137,15 +137,15 @@
     deadline: Instant,
 ) -> Result<Opened, Fault> {
     let opened = send::<D>(upstream, request, attempt, deadline).await?;
-    if opened.marks.not_run {
+    if opened.head.not_run {
         let status = opened.response.status();
         discard(opened, deadline).await;
         return Err(Fault::refused(status));
     }
-    if !opened.marks.same_attempt {
+    if !opened.head.same_attempt {
         return Err(Fault::unknown(Cause::Malformed("another request's answer")));
     }
-    if !opened.marks.sealed {
+    if !opened.head.sealed {
         return Err(Fault::unknown(Cause::Malformed("no seal")));
     }
     Ok(opened)
@@ -192,9 +192,9 @@
 
 /// Reads the rest of an answer that is not forwarded, and keeps its connection.
 pub(crate) async fn discard(opened: Opened, deadline: Instant) {
-    let Opened { mut response, lease, marks } = opened;
+    let Opened { mut response, lease, head } = opened;
     if read_short(response.body_mut(), deadline).await.is_ok() {
-        lease.keep(marks.keep_alive);
+        lease.keep(head.keep_alive);
     }
 }
 
@@ -208,22 +208,23 @@
     let opened = send::<D>(upstream, request, "", deadline).await?;
     let status = opened.response.status();
     if status != StatusCode::OK {
-        if opened.marks.not_run {
+        if opened.head.not_run {
             discard(opened, deadline).await;
             return Err(Fault::refused(status));
         }
-        return Err(Fault::unknown(Cause::Malformed("a status that is no success")));
+        return Err(Fault::unknown(Cause::Malformed("a status other than 200")));
     }
-    let Opened { mut response, lease, marks } = opened;
+    let Opened { mut response, lease, head } = opened;
     let body = read_short(response.body_mut(), deadline).await?;
     let answer = D::results(&body).map_err(|why| {
-        log::warn!(upstream:% = upstream.id, cause = why.as_str(); "unreadable results");
+        log::warn!(upstream:% = upstream.id, cause = why.as_str();
+            "failed to decode the results of a call");
         Fault::unknown(Cause::Malformed("unreadable results"))
     })?;
     if answer.results.len() != calls.len() {
-        return Err(Fault::unknown(Cause::Malformed("another number of results")));
+        return Err(Fault::unknown(Cause::Malformed("wrong number of results")));
     }
-    lease.keep(marks.keep_alive);
+    lease.keep(head.keep_alive);
     Ok(answer)
 }
 
@@ -234,9 +235,9 @@
 ) -> Result<RoomReport, Fault> {
     let mut request = own_call::<D>(upstream, D::REPORT_PATH, Bytes::new(), deadline);
     *request.method_mut() = Method::GET;
-    let Opened { mut response, lease, marks } = send::<D>(upstream, request, "", deadline).await?;
+    let Opened { mut response, lease, head } = send::<D>(upstream, request, "", deadline).await?;
     let body = read_short(response.body_mut(), deadline).await?;
-    lease.keep(marks.keep_alive);
+    lease.keep(head.keep_alive);
     match response.status() {
         StatusCode::OK => Ok(D::room(&body)),
         status => Err(Fault::refused(status)),
@@ -250,9 +251,9 @@
 ) -> Result<(), Fault> {
     let deadline = Instant::now() + FREE_TIMEOUT;
     let request = own_call::<D>(upstream, D::FREE_PATH, D::free(handles), deadline);
-    let Opened { mut response, lease, marks } = send::<D>(upstream, request, "", deadline).await?;
+    let Opened { mut response, lease, head } = send::<D>(upstream, request, "", deadline).await?;
     read_short(response.body_mut(), deadline).await?;
-    lease.keep(marks.keep_alive);
+    lease.keep(head.keep_alive);
     Ok(())
 }
 
@@ -272,7 +273,7 @@
         headers.insert(header::HOST, host);
     }
     let left = deadline.saturating_duration_since(Instant::now());
-    let marks = crate::dialect::Marks { upstream: &upstream.id, left, ..Default::default() };
-    D::mark(headers, &marks);
+    let forward_head = crate::dialect::Marks { upstream: &upstream.id, left, ..Default::default() };
+    D::mark(headers, &forward_head);
     request
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -50,7 +50,7 @@
                 tokio::spawn(connection(stream, Arc::clone(&shared), Arc::clone(&streams)));
             }
             Err(error) => {
-                log::warn!(cause:% = error; "a connection could not be accepted");
+                log::warn!(cause:% = error; "failed to accept a connection; trying again");
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -66,7 +66,7 @@
         .set_nodelay(true)
         .and_then(|()| SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)));
     if let Err(error) = configured {
-        log::debug!(cause:% = error; "a caller's connection ended at once");
+        log::debug!(cause:% = error; "a caller's connection ended before its options were set");
         return;
     }
     let limits = shared.plan().map_or_else(Limits::default, |it| it.limits);
@@ -94,7 +94,7 @@
             service,
         );
     if let Err(error) = served.await {
-        log::debug!(cause:% = error; "a caller's connection broke off");
+        log::debug!(cause:% = error; "a caller's connection failed");
     }
 }
 
@@ -143,14 +143,15 @@
     let request =
         CallerRequest::read::<D>(plan, request, arrived, shared.body_memory.reserve()).await?;
     if let Err(it) = shared.suspects.admit(&request).await {
-        log::info!(request = request.ask.attempt.as_str(), digest:% = request.digest(),
-            after_ms = it.after.as_millis() as u64; "refused a request under which upstreams end");
+        log::info!(request = request.head.attempt.as_str(), digest:% = request.digest(),
+            after_ms = it.after.as_millis() as u64;
+            "refused a quarantined request: upstreams end under it");
         return Err(Refusal::Quarantined(it.after));
     }
     let service = request.route.service(rand::random()).cloned().ok_or(Refusal::NoUpstream)?;
     shared.budget.request(&service, arrived);
     let engine = request.plan.services.get(&service).is_some_and(|it| it.engine.is_some());
-    let (attempt, deadline) = (request.ask.attempt.clone(), request.first_event_by);
+    let (attempt, deadline) = (request.head.attempt.clone(), request.first_event_by);
     let (kind, late) = (request.route.kind, request.timeout_watch());
     let (route, rank) = (Arc::clone(&request.route), request.rank());
     let version = request.plan.version;
@@ -206,7 +207,7 @@
         tokio::spawn(async move {
             let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
-                log::debug!(cause:% = error; "the balancer's connection broke off");
+                log::debug!(cause:% = error; "the balancer's connection failed");
             }
         });
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -142,7 +142,7 @@
             let quiet = now.duration_since(last_busy) >= QUIET_TIME;
             if now >= end || (quiet && now.duration_since(start) >= BALANCER_REMOVAL_TIME) {
                 log::info!(requests = self.shared.drain.in_flight(),
-                    ms = start.elapsed().as_millis() as u64; "drained");
+                    ms = start.elapsed().as_millis() as u64; "drained the entry");
                 return;
             }
         }
--- a/crates/gateway/src/offers/tests.rs
+++ b/crates/gateway/src/offers/tests.rs
@@ -18,7 +18,7 @@
     let refused = Fault::unsent(ConnectError::Refused);
     vec![
         Case { name: "gone", fault: refused, ejected: false, offered: 10 },
-        Case { name: "known to be gone", fault: refused, ejected: true, offered: 3 },
+        Case { name: "gone and ejected", fault: refused, ejected: true, offered: 3 },
         Case {
             name: "silent",
             fault: Fault::unsent(ConnectError::TimedOut),
@@ -59,7 +59,7 @@
 /// Guards against a request that is refused after three upstreams that are gone, and against one
 /// that is offered to every upstream although all reject it.
 #[test]
-fn only_news_of_an_upstream_that_is_gone_is_free() {
+fn only_refused_connections_do_not_count() {
     for case in cases() {
         let now = Instant::now();
         let mut offers = Offers::new(3);
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -72,7 +72,7 @@
         offers.add(&upstream, now);
         let reached_before = reached_upstream;
         reached_upstream = true;
-        log::info!(request = request.ask.attempt.as_str(), upstream:% = upstream.id,
+        log::info!(request = request.head.attempt.as_str(), upstream:% = upstream.id,
             running = upstream.total_running(), listed:% = directory.listed(), tried = offers.tried().len();
             "chose an upstream");
         let last = !repeats || runs + 1 >= request.route.attempts;
@@ -144,9 +144,9 @@
 ) {
     let outcome = if fault.not_run { "not run" } else { "unknown" };
     shared.metrics.calls.with_label_values(&[outcome]).inc();
-    log::info!(request = request.ask.attempt.as_str(), upstream:% = upstream.id,
+    log::info!(request = request.head.attempt.as_str(), upstream:% = upstream.id,
         service:% = upstream.service, cause:% = fault, digest:% = request.digest(),
-        path = request.uri.path(), age_ms = request.arrived.elapsed().as_millis() as u64; "a call brought no answer");
+        path = request.uri.path(), age_ms = request.arrived.elapsed().as_millis() as u64; "a call of an upstream failed");
     if fault.unreachable || !fault.not_run {
         upstream.failed(fault.unreachable);
     }
@@ -177,26 +177,26 @@
     let _running = upstream.begin_request(0);
     let before = request.may_have_run.load(Ordering::Relaxed);
     let forward = request.forward::<D>(upstream, &[], None);
-    let sent = exchange::request::<D>(upstream, forward, &request.ask.attempt, deadline).await;
+    let sent = exchange::request::<D>(upstream, forward, &request.head.attempt, deadline).await;
     let opened = sent.inspect_err(|fault| {
         if fault.not_run {
             request.may_have_run.store(before, Ordering::Relaxed);
         }
     })?;
-    let Opened { mut response, lease, marks } = opened;
+    let Opened { mut response, lease, head } = opened;
     let status = response.status();
     let mut headers = std::mem::take(response.headers_mut());
     strip_hop_by_hop(&mut headers);
     let read = exchange::read_body(response.body_mut(), BUFFERED_ANSWER_LIMIT, deadline).await;
     let body = match read.map_err(Fault::unknown)? {
         Read::Whole(bytes) => {
-            lease.keep(marks.keep_alive);
+            lease.keep(head.keep_alive);
             ReplyBody::whole(bytes)
         }
         Read::More(start) => {
             let (bytes, receiver) = mpsc::channel(PIPE_CHUNKS);
             let end = request.deadline;
-            tokio::spawn(pipe(start, response.into_body(), (lease, marks), bytes, end));
+            tokio::spawn(pipe(start, response.into_body(), (lease, head), bytes, end));
             ReplyBody::stream(receiver)
         }
     };
@@ -208,7 +208,7 @@
 async fn pipe(
     start: Bytes,
     mut body: Incoming,
-    (lease, marks): (Lease, AnswerMarks),
+    (lease, head): (Lease, AnswerMarks),
     bytes: mpsc::Sender<Result<Bytes, Truncated>>,
     end: Instant,
 ) {
@@ -228,7 +228,7 @@
             Ok(Some(Err(_))) | Err(_) => Err(Truncated),
         };
     }
-    lease.keep(marks.keep_alive);
+    lease.keep(head.keep_alive);
 }
 
 fn reply(answer: Answer) -> Reply {
--- a/crates/gateway/src/reply.rs
+++ b/crates/gateway/src/reply.rs
@@ -33,7 +33,7 @@
 
 impl fmt::Display for Truncated {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("the answer was cut short")
     }
 }
 
--- a/crates/gateway/src/reply/tests.rs
+++ b/crates/gateway/src/reply/tests.rs
@@ -24,7 +24,7 @@
     Case { name: "all at once", pipe: 1 << 16, events: 3, truncated: true },
     Case { name: "a caller that reads slowly", pipe: 16, events: 3, truncated: true },
     Case { name: "many events, read slowly", pipe: 64, events: 30, truncated: true },
-    Case { name: "a break before any event", pipe: 1 << 16, events: 0, truncated: true },
+    Case { name: "cut short before any event", pipe: 1 << 16, events: 0, truncated: true },
     Case { name: "a whole answer", pipe: 16, events: 3, truncated: false },
 ];
 
@@ -33,7 +33,7 @@
 /// channel in one turn; on the error it drops the connection with everything that it has not
 /// written yet.
 #[tokio::test]
-async fn events_before_a_break_reach_the_caller() {
+async fn events_before_a_truncation_reach_the_caller() {
     for case in CASES {
         let read = read_answer(case).await;
         for at in 0..case.events {
@@ -76,10 +76,10 @@
     let (sender, receiver) = mpsc::channel(events + 1);
     for at in 0..events {
         let event = Bytes::from(format!("event {at};"));
-        sender.send(Ok(event)).await.expect("room");
+        sender.send(Ok(event)).await.expect("the channel is open");
     }
     if truncated {
-        sender.send(Err(Truncated)).await.expect("room");
+        sender.send(Err(Truncated)).await.expect("the channel is open");
     }
     let mut body = ReplyBody::stream(receiver);
     body.track_writes(write_tracker);
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -47,7 +47,7 @@
 pub(crate) struct CallerRequest {
     pub(crate) plan: Arc<Plan>,
     pub(crate) route: Arc<Route>,
-    pub(crate) ask: Ask,
+    pub(crate) head: Ask,
     pub(crate) customer: Option<Customer>,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
@@ -77,17 +77,17 @@
         arrived: Instant,
         mut body_memory: Reservation,
     ) -> Result<Self, Refusal> {
-        let (head, body) = request.into_parts();
-        let Parts { method, uri, mut headers, .. } = head;
+        let (parts, body) = request.into_parts();
+        let Parts { method, uri, mut headers, .. } = parts;
         let host = headers.get(header::HOST).and_then(|it| it.to_str().ok()).unwrap_or_default();
         let route = plan.route(host, uri.path()).ok_or(Refusal::NoRoute)?;
         let route = Arc::clone(route);
-        let ask = D::ask(&headers).map_err(|why| {
-            log::info!(cause = why.as_str(); "a head that can't be read");
+        let head = D::ask(&headers).map_err(|why| {
+            log::info!(cause = why.as_str(); "refused a request with an invalid head");
             Refusal::BadHead
         })?;
-        let customer = customer(&plan, &route, &ask)?;
-        let wait = ask.deadline.unwrap_or(DEFAULT_PATIENCE).min(route.timeout);
+        let customer = customer(&plan, &route, &head)?;
+        let wait = head.deadline.unwrap_or(DEFAULT_PATIENCE).min(route.timeout);
         let deadline = arrived + wait.saturating_sub(REPLY_MARGIN);
         let first_event_by = deadline.min(arrived + patience(&route));
         let body = read_body(&plan, &headers, body, &mut body_memory, deadline).await?;
@@ -97,7 +97,7 @@
         Ok(Self {
             plan,
             route,
-            ask,
+            head,
             customer,
             method,
             uri,
@@ -173,8 +173,8 @@
         let headers = request.headers_mut();
         *headers = self.headers.clone();
         let left = self.deadline.saturating_duration_since(Instant::now());
-        let generates = self.ask.generation.is_some();
-        let marks = Marks {
+        let generates = self.head.generation.is_some();
+        let forward_head = Marks {
             upstream: &upstream.id,
             left,
             customer: self.customer.as_ref().map(|it| &*it.name),
@@ -182,7 +182,7 @@
             priority: generates.then(|| self.rank()),
             last_event,
         };
-        D::mark(headers, &marks);
+        D::mark(headers, &forward_head);
         self.may_have_run.store(true, Ordering::Relaxed);
         request
     }
@@ -222,11 +222,11 @@
     }
 }
 
-fn customer(plan: &Plan, route: &Route, ask: &Ask) -> Result<Option<Customer>, Refusal> {
+fn customer(plan: &Plan, route: &Route, head: &Ask) -> Result<Option<Customer>, Refusal> {
     let Some(customers) = plan.customers.as_ref().filter(|_| !route.open) else {
         return Ok(None);
     };
-    let key = ask.key.as_ref().ok_or(Refusal::NoKey)?;
+    let key = head.key.as_ref().ok_or(Refusal::NoKey)?;
     customers.get(key).cloned().map(Some).ok_or(Refusal::NoKey)
 }
 
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -222,7 +222,7 @@
         let listed = others.len() < news.entries.len();
         if self.listed.swap(listed, Ordering::Relaxed) != listed {
             log::info!(listed, others = others.len(), seated:% = news.seated;
-                "other entries count this one or not");
+                "this entry was added to or removed from the list of entries");
         }
         self.entries.fetch_max(others.len() + 1, Ordering::Relaxed);
         self.peers.store(Arc::new(others));
@@ -250,7 +250,7 @@
                 self.plan.store(Some(Arc::new(plan)));
             }
             Err(why) => log::error!(cause = why.as_str();
-                "the plan that was committed can't be read; the last one stays in force"),
+                "failed to decode the committed plan; the previous one stays in force"),
         }
     }
 }
--- a/crates/gateway/src/shared/tests.rs
+++ b/crates/gateway/src/shared/tests.rs
@@ -82,7 +82,7 @@
     NOTHING,
     Case { name: "no plan", upstreams: true, entries: true, ..NOTHING },
     Case { name: "no upstreams", plan: true, entries: true, ..NOTHING },
-    Case { name: "not the other entries", plan: true, upstreams: true, ..NOTHING },
+    Case { name: "no list of entries", plan: true, upstreams: true, ..NOTHING },
     Case { name: "all", plan: true, upstreams: true, entries: true, ready: true },
 ];
 
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -79,7 +79,7 @@
         let pump = Pump {
             streams: Arc::clone(self),
             service: Arc::clone(service),
-            last_event: request.ask.last_event,
+            last_event: request.head.last_event,
             request,
             tries,
             events,
@@ -123,14 +123,14 @@
                 return Err(if tries.runs > 0 { Refusal::Failed } else { Refusal::NoUpstream });
             }
             tries.offers.add(&upstream, now);
-            log::info!(request = request.ask.attempt.as_str(), upstream:% = upstream.id,
+            log::info!(request = request.head.attempt.as_str(), upstream:% = upstream.id,
                 running = upstream.total_running(), tokens = upstream.total_tokens(),
                 listed:% = self.shared.directory().listed(), inputs = handles.len(), last = last_event,
                 stages:% = phases, age_ms = request.arrived.elapsed().as_millis() as u64; "chose an engine");
             let forward = request.forward::<D>(&upstream, handles, last_event);
             let fault = match open::<D>(request, &upstream, forward).await {
                 Ok(tried) => {
-                    if let Some(generation) = &request.ask.generation {
+                    if let Some(generation) = &request.head.generation {
                         self.shared.prefill_times.record(service, generation, now.elapsed());
                     }
                     self.shared.metrics.record_engine(service, now.elapsed());
@@ -182,12 +182,12 @@
     /// Without this, every request of a burst would queue, all would be late, and the work for
     /// those whose callers gave up would be lost.
     fn admit(&self, request: &CallerRequest, service: &Arc<str>) -> Result<(), Refusal> {
-        let Some(segments) = &request.ask.segments else { return Ok(()) };
+        let Some(segments) = &request.head.segments else { return Ok(()) };
         let run = self.stage_run(request, segments, service);
         let rank = request.rank();
         let section = |it: &Arc<str>| self.shared.section(it, None, rank);
         let backlogs = &self.shared.backlogs;
-        let engine = request.ask.generation.as_ref();
+        let engine = request.head.generation.as_ref();
         let engine = engine.map_or(Duration::ZERO, |it| {
             self.shared.prefill_times.unloaded_first_event(service, it)
         });
@@ -207,7 +207,7 @@
         };
         let verdict = admission::admit(&forecast, &requirements);
         let (attempt, target) =
-            (request.ask.attempt.as_str(), requirements.target.as_millis() as u64);
+            (request.head.attempt.as_str(), requirements.target.as_millis() as u64);
         let wait = forecast.behind_all.saturating_sub(forecast.unqueued).as_millis() as u64;
         let (timely, late) =
             (forecast.behind_timely.as_millis() as u64, forecast.behind_all.as_millis() as u64);
@@ -237,10 +237,10 @@
             plan: &request.plan,
             route: &request.route,
             segments,
-            attempt: request.ask.attempt.as_str().into(),
+            attempt: request.head.attempt.as_str().into(),
             digest: request.digest(),
             domain: None,
-            engine: match &request.ask.generation {
+            engine: match &request.head.generation {
                 Some(generation) => {
                     self.shared.prefill_times.expected_first_event(service, generation)
                 }
@@ -271,7 +271,7 @@
         service: &Arc<str>,
         tries: &mut Tries,
     ) -> Result<Inputs<D>, Refusal> {
-        let Some(segments) = &request.ask.segments else {
+        let Some(segments) = &request.head.segments else {
             return Ok(Inputs::none(Arc::clone(&self.batches)));
         };
         loop {
@@ -286,10 +286,10 @@
                     if it.cause == PieceFailure::InputGone && tries.stage_runs < MAX_STAGE_RUNS => {
                 }
                 Err(StageFailure { stage, cause, phases }) => {
-                    log::info!(request = request.ask.attempt.as_str(), stage,
+                    log::info!(request = request.head.attempt.as_str(), stage,
                         service:% = request.route.stages[stage].service, failure:? = cause,
                         stages:% = phases, age_ms = request.arrived.elapsed().as_millis() as u64;
-                        "a stage could not be done");
+                        "a stage failed");
                     return Err(match cause {
                         PieceFailure::Late => request.late_refusal(),
                         _ => Refusal::StageFailed,
--- a/crates/gateway/src/stream/choice.rs
+++ b/crates/gateway/src/stream/choice.rs
@@ -44,7 +44,7 @@
             running: f64::from(it.total_running()),
             tokens: it.total_tokens() as f64,
         };
-        let parts = request.ask.generation.as_ref().map_or(&[][..], |it| &it.parts);
+        let parts = request.head.generation.as_ref().map_or(&[][..], |it| &it.parts);
         let spread = [PromptPart { id: rand::random(), tokens: 0 }];
         let parts = if parts.is_empty() { &spread } else { parts };
         let weights = producer_weights(request, &directory, &candidates);
--- a/crates/gateway/src/stream/open.rs
+++ b/crates/gateway/src/stream/open.rs
@@ -46,20 +46,20 @@
     upstream: &Arc<Upstream>,
     forward: http::Request<http_body_util::Full<Bytes>>,
 ) -> Result<EngineAnswer, Fault> {
-    let tokens = request.ask.generation.as_ref().map_or(0, |it| u64::from(it.prompt));
+    let tokens = request.head.generation.as_ref().map_or(0, |it| u64::from(it.prompt));
     let mut running = upstream.begin_request(tokens);
     let sent = Instant::now();
     let deadline = request.first_event_by;
-    let opened = exchange::request::<D>(upstream, forward, &request.ask.attempt, deadline).await?;
-    let Opened { mut response, lease, marks } = opened;
+    let opened = exchange::request::<D>(upstream, forward, &request.head.attempt, deadline).await?;
+    let Opened { mut response, lease, head } = opened;
     let mut headers = std::mem::take(response.headers_mut());
     strip_hop_by_hop(&mut headers);
     if !response.status().is_success() {
         let read = exchange::read_body(response.body_mut(), ERROR_ANSWER_LIMIT, deadline).await;
         let Read::Whole(body) = read.map_err(Fault::unknown)? else {
-            return Err(Fault::unknown(Cause::Malformed("a large failure")));
+            return Err(Fault::unknown(Cause::Malformed("error answer too large")));
         };
-        lease.keep(marks.keep_alive);
+        lease.keep(head.keep_alive);
         let mut reply = Response::new(ReplyBody::whole(body));
         *reply.status_mut() = response.status();
         *reply.headers_mut() = headers;
@@ -85,7 +85,7 @@
         headers,
         body,
         lease,
-        keep_alive: marks.keep_alive,
+        keep_alive: head.keep_alive,
         splitter,
         first,
         running,
--- a/crates/gateway/src/stream/pump.rs
+++ b/crates/gateway/src/stream/pump.rs
@@ -68,9 +68,9 @@
                     }
                 }
             };
-            log::info!(request = self.request.ask.attempt.as_str(), upstream:% = upstream.id,
+            log::info!(request = self.request.head.attempt.as_str(), upstream:% = upstream.id,
                 last = self.last_event, cause = why, digest:% = self.request.digest();
-                "a stream broke off");
+                "ended a stream before it was complete");
             // The stream is incomplete, so the caller's connection is closed without a proper end.
             let _ = self.events.send(Err(Truncated)).await;
             return;
@@ -147,8 +147,8 @@
         {
             return None;
         }
-        log::info!(request = self.request.ask.attempt.as_str(), upstream = from, last = self.last_event,
-            cause = why, digest:% = self.request.digest(); "a stream goes on elsewhere");
+        log::info!(request = self.request.head.attempt.as_str(), upstream = from, last = self.last_event,
+            cause = why, digest:% = self.request.digest(); "resuming a stream at another engine");
         let streams = Arc::clone(&self.streams);
         let next = streams.attach(&self.request, &self.service, &mut self.tries, self.last_event);
         let next = tokio::select! {
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -139,8 +139,8 @@
         let granted = known.wait_for(|it| self.claim_trial(it, &digest));
         match timeout(TRIAL_TIMEOUT, granted).await {
             Ok(Ok(_)) => {
-                log::info!(request = request.ask.attempt.as_str(), digest:% = digest;
-                    "trying a held request");
+                log::info!(request = request.head.attempt.as_str(), digest:% = digest;
+                    "trying a quarantined request once");
                 request.set_trial();
                 Ok(())
             }
@@ -231,7 +231,7 @@
         }
         let runs = lock(&self.lost).remove(&self.upstream).unwrap_or_default();
         log::info!(upstream:% = self.upstream, ended, runs = runs.len();
-            "looked whether an upstream that lost calls has ended");
+            "probed whether an upstream that lost calls has ended");
         if !ended {
             return;
         }
@@ -254,7 +254,8 @@
 
 fn report(sender: &mpsc::Sender<Evidence>, evidence: Evidence) {
     if let Err(error) = sender.try_send(evidence) {
-        log::warn!(cause:% = error; "evidence against a request is lost");
+        log::warn!(cause:% = error;
+            "dropped the evidence against a request: it could not be queued");
     }
 }
 
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -198,7 +198,7 @@
         let life = self.lives.observe(born);
         if life == Life::New {
             log::info!(upstream:% = self.id, born:% = born.map_or(0, |it| it.0);
-                "an upstream has started again");
+                "an upstream has restarted");
             *self.health.lock().unwrap_or_else(PoisonError::into_inner) = Health::default();
             self.close_idle(true);
         }
@@ -209,7 +209,7 @@
     pub(crate) fn succeeded(&self) {
         let mut health = self.health.lock().unwrap_or_else(PoisonError::into_inner);
         if health.ejected_until.take().is_some() {
-            log::info!(upstream:% = self.id; "an upstream works again");
+            log::info!(upstream:% = self.id; "an ejected upstream works again");
         }
         health.failures = 0;
     }
@@ -227,7 +227,7 @@
         let backoff = (BACKOFF_BASE * (1 << counted.min(4))).min(MAX_BACKOFF);
         if health.ejected_until.is_none() {
             log::warn!(upstream:% = self.id, service:% = self.service, failures = health.failures,
-                hard, ms = backoff.as_millis() as u64; "an upstream fails and is passed over");
+                hard, ms = backoff.as_millis() as u64; "ejected an upstream after failed calls");
         }
         health.ejected_until = Some(Instant::now() + backoff);
     }
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -13,7 +13,7 @@
 }
 
 const CASES: &[Case] = &[
-    Case { name: "nothing waits", forecast: [900; 3], priority: 0, verdict: Verdict::Timely },
+    Case { name: "nothing is queued", forecast: [900; 3], priority: 0, verdict: Verdict::Timely },
     Case {
         name: "a long chain that hardly waits",
         forecast: [2_500, 2_600, 2_600],
@@ -27,13 +27,13 @@
         verdict: Verdict::Timely,
     },
     Case {
-        name: "late ones wait, which go after it",
+        name: "only late pieces are queued, which go after it",
         forecast: [900, 1_200, 9_000],
         priority: 2,
         verdict: Verdict::Timely,
     },
     Case {
-        name: "late ones wait, and nothing may come in between",
+        name: "late pieces are queued, and it would only just be in time",
         forecast: [900, 1_900, 9_000],
         priority: 2,
         verdict: Verdict::Refused(Duration::from_millis(8_100)),
@@ -69,7 +69,7 @@
 /// usual rate. This happens if the late pieces count as ahead of the new ones, which are served
 /// first.
 #[test]
-fn requests_are_taken_by_when_they_would_be_done() {
+fn requests_are_admitted_by_their_expected_time() {
     for case in CASES {
         let [unqueued, behind_timely, behind_all] = case.forecast.map(Duration::from_millis);
         let requirements = Requirements {
--- a/crates/gateway/tests/pure.rs
+++ b/crates/gateway/tests/pure.rs
@@ -43,7 +43,7 @@
     },
     EventCase { name: "no number", reads: &["data: a\n\n"], ids: &[None], rest: false },
     EventCase {
-        name: "a first line before the number",
+        name: "a field before the number",
         reads: &["x: 3\nid: 4\ndata: a\n\n"],
         ids: &[Some(4)],
         rest: false,
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn prompts_that_share_parts_meet() {
+fn prompts_that_share_parts_use_one_upstream() {
     let all = upstreams(12);
     let mut reversed = all.clone();
     reversed.reverse();
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn repeats_stay_within_ratio_and_burst() {
+fn retries_stay_within_ratio_and_burst() {
     let start = Instant::now();
     let spec = BudgetSpec { ratio: 0.2, window: Duration::from_secs(10), burst: 40.0 };
     let budget = Budget::new(spec, start);
@@ -270,18 +270,18 @@
     }
     let granted = (0..100).filter(|_| budget.take(&service, 1, 8, start)).count();
     // A fifth of 100 requests, and an eighth of the burst.
-    assert!(granted <= 25, "{granted} repeats");
-    assert!(granted >= 18, "{granted} repeats");
+    assert!(granted <= 25, "{granted} retries");
+    assert!(granted >= 18, "{granted} retries");
     let later = start + Duration::from_secs(11);
     let again = (0..100).filter(|_| budget.take(&service, 1, 8, later)).count();
-    assert!(again <= 5, "{again} repeats of no request");
+    assert!(again <= 5, "{again} retries without requests");
 }
 
 /// Guards against refusing the longest prompts of a burst, and against prompts that leave the
 /// upstreams holding their parts. Most prompts wait for others at their engine, a fifth meet an
 /// idle one; a reading time taken from the mean would include the waits.
 #[test]
-fn reading_by_itself_is_told_from_waiting() {
+fn unloaded_reading_time_excludes_waiting() {
     let times = PrefillTimes::default();
     let service: Arc<str> = "s".into();
     let parts = vec![PromptPart { id: 1, tokens: 10_000 }];
@@ -292,10 +292,10 @@
         times.record(&service, &prompt, Duration::from_millis(took));
     }
     let unloaded = times.token_ms("s");
-    assert!((0.014..0.035).contains(&unloaded), "{unloaded} ms a token");
+    assert!((0.014..0.035).contains(&unloaded), "{unloaded} ms per token");
     let (idle, likely) =
         (times.unloaded_first_event("s", &prompt), times.expected_first_event("s", &prompt));
-    assert!(idle * 2 < likely, "{idle:?} by itself, {likely:?} in the mean");
+    assert!(idle * 2 < likely, "{idle:?} at an idle engine, {likely:?} in the mean");
 }
 
 struct LifeCase {
@@ -331,15 +331,15 @@
 /// Many callers send large bodies slowly and at the same time. This happens if each body is limited
 /// but not their sum, or if memory that was released stays counted.
 #[test]
-fn bodies_together_stay_within_their_room() {
+fn bodies_together_stay_within_the_memory_budget() {
     let body_memory = MemoryBudget::new(10);
     let (mut one, mut two) = (body_memory.reserve(), body_memory.reserve());
     assert!(one.grow(6));
-    assert!(!two.grow(5), "more than there is");
+    assert!(!two.grow(5), "more than is left");
     assert!(two.grow(4));
     assert!(!one.grow(1));
     drop(one);
-    assert!(two.grow(6), "the room of a body that is gone is free again");
+    assert!(two.grow(6), "the memory of a dropped body is free again");
     drop(two);
     assert!(body_memory.reserve().grow(10));
 }
--- a/crates/gateway/tests/section.rs
+++ b/crates/gateway/tests/section.rs
@@ -112,7 +112,7 @@
         chosen: [0, 1_000, 0],
     },
     ChoiceCase {
-        name: "a part leaves a long wait, not all at once",
+        name: "a part of the jobs leaves a long wait",
         waits: [300, 800, 500],
         home: Some("b"),
         chosen: [500, 500, 0],
@@ -131,7 +131,7 @@
 /// can handle. The first happens if no job leaves its domain, the second if all jobs leave at once
 /// to the domain whose wait was shortest.
 #[test]
-fn jobs_leave_a_long_wait_in_part() {
+fn only_a_part_of_the_jobs_leaves_a_long_wait() {
     let names = ["a", "b", "c"];
     let section = |domain: &str| Section { service: "s".into(), domain: Some(domain.into()) };
     let sections = names.map(section);
