--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -73,8 +73,8 @@
         let reached_before = reached_upstream;
         reached_upstream = true;
         log::info!(request = request.head.attempt.as_str(), upstream:% = upstream.id,
-            running = upstream.total_running(), listed:% = directory.listed(), tried = offers.tried().len();
-            "chose an upstream");
+            running = upstream.total_running(), listed:% = directory.listed(),
+            tried = offers.tried().len(); "chose an upstream");
         let last = !repeats || runs + 1 >= request.route.attempts;
         let deadline = if last { request.deadline } else { first_try_deadline(request, now) };
         match call_once::<D>(request, &upstream, deadline).await {
@@ -146,7 +146,8 @@
     shared.metrics.calls.with_label_values(&[outcome]).inc();
     log::info!(request = request.head.attempt.as_str(), upstream:% = upstream.id,
         service:% = upstream.service, cause:% = fault, digest:% = request.digest(),
-        path = request.uri.path(), age_ms = request.arrived.elapsed().as_millis() as u64; "a call of an upstream failed");
+        path = request.uri.path(), age_ms = request.arrived.elapsed().as_millis() as u64;
+        "a call of an upstream failed");
     if fault.unreachable || !fault.not_run {
         upstream.failed(fault.unreachable);
     }
--- a/crates/gateway/src/reply.rs
+++ b/crates/gateway/src/reply.rs
@@ -126,8 +126,8 @@
     }
 }
 
-/// Why a request gets an answer of the entry itself. All but `LateMayHaveRun` and `Failed` guarantee that
-/// the request did not run.
+/// Why a request gets an answer of the entry itself. All but `LateMayHaveRun` and `Failed` guarantee
+/// that the request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
     /// No plan is known yet.
--- a/crates/gateway/src/section.rs
+++ b/crates/gateway/src/section.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// Splits a service by failure domain if a single owner would need more than [`OWNER_LINK_SHARE`]
+/// Splits a service by failure domain if a single owner would need more than `OWNER_LINK_SHARE`
 /// of its link, else not at all. Entries with the same lists of upstreams and entries get the same
 /// sections.
 pub fn split(
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -125,8 +125,9 @@
             tries.offers.add(&upstream, now);
             log::info!(request = request.head.attempt.as_str(), upstream:% = upstream.id,
                 running = upstream.total_running(), tokens = upstream.total_tokens(),
-                listed:% = self.shared.directory().listed(), inputs = handles.len(), last = last_event,
-                stages:% = phases, age_ms = request.arrived.elapsed().as_millis() as u64; "chose an engine");
+                listed:% = self.shared.directory().listed(), inputs = handles.len(),
+                last = last_event, stages:% = phases,
+                age_ms = request.arrived.elapsed().as_millis() as u64; "chose an engine");
             let forward = request.forward::<D>(&upstream, handles, last_event);
             let fault = match open::<D>(request, &upstream, forward).await {
                 Ok(tried) => {
--- a/crates/gateway/src/stream/pump.rs
+++ b/crates/gateway/src/stream/pump.rs
@@ -55,7 +55,7 @@
                     return;
                 }
                 ForwardEnd::CallerLeft => return,
-                ForwardEnd::Late => "its time is over",
+                ForwardEnd::Late => "deadline passed",
                 ForwardEnd::Lost(why) => {
                     upstream.failed(false);
                     shared.suspects.lost(self.request.digest(), &upstream, times);
@@ -101,14 +101,14 @@
                 Ok(Some(Ok(frame))) => splitter.push(&frame.into_data().unwrap_or_default()),
                 Ok(Some(Err(_))) => return ForwardEnd::Lost("connection lost"),
                 Ok(None) if splitter.has_partial_event() => {
-                    return ForwardEnd::Lost("ended in an event");
+                    return ForwardEnd::Lost("ended inside an event");
                 }
                 Ok(None) => {
                     lease.keep(keep_alive);
                     return ForwardEnd::Whole;
                 }
                 Err(_) if Instant::now() >= self.request.deadline => return ForwardEnd::Late,
-                Err(_) => return ForwardEnd::Lost("silent"),
+                Err(_) => return ForwardEnd::Lost("no event in time"),
             }
         }
     }
@@ -147,8 +147,9 @@
         {
             return None;
         }
-        log::info!(request = self.request.head.attempt.as_str(), upstream = from, last = self.last_event,
-            cause = why, digest:% = self.request.digest(); "resuming a stream at another engine");
+        log::info!(request = self.request.head.attempt.as_str(), upstream = from,
+            last = self.last_event, cause = why, digest:% = self.request.digest();
+            "resuming a stream at another engine");
         let streams = Arc::clone(&self.streams);
         let next = streams.attach(&self.request, &self.service, &mut self.tries, self.last_event);
         let next = tokio::select! {
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -38,15 +38,15 @@
 /// seconds.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The base of the backoff of an ejected upstream, which is this times two to the power of the
-/// failures in a row that count.
+/// The base of the backoff of an ejected upstream. The backoff is this times 2^n, where n is the
+/// number of failures in a row that count, up to 4.
 const BACKOFF_BASE: Duration = Duration::from_millis(400);
 
 /// The longest backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// How many failures in a row an upstream that accepts connections may have before further ones
-/// eject it.
+/// How many failures in a row do not count for an upstream that accepts connections. The next one
+/// ejects it.
 const TOLERATED_FAILURES: u32 = 3;
 
 /// The request sender of an HTTP connection.
