--- a/crates/gateway/src/batch/client.rs
+++ b/crates/gateway/src/batch/client.rs
@@ -175,7 +175,7 @@
         let directory = self.shared.directory();
         let mut by_section: HashMap<Section, Vec<String>> = HashMap::new();
         for handle in handles {
-            let address = D::keeper(handle);
+            let address = D::holder(handle);
             let keeper = directory.all().find(|it| Some(it.address) == address);
             if let Some(keeper) = keeper {
                 let list = by_section.entry(directory.section_of(keeper)).or_default();
@@ -201,7 +201,7 @@
     fn free_crowded(&self, handles: &[Handle]) {
         let directory = self.shared.directory();
         let crowded = |it: &&Handle| {
-            let address = D::keeper(it);
+            let address = D::holder(it);
             let keeper = directory.all().find(|it| Some(it.address) == address);
             let section = keeper.map(|it| directory.section_of(it));
             let wait = section.map(|it| self.shared.backlogs.wait(&it, u8::MAX));
@@ -216,7 +216,7 @@
         let directory = self.shared.directory();
         let mut counts: HashMap<Arc<str>, usize> = HashMap::new();
         for handle in handles {
-            let address = D::keeper(handle);
+            let address = D::holder(handle);
             if let Some(keeper) = directory.all().find(|it| Some(it.address) == address) {
                 *counts.entry(Arc::clone(&keeper.domain)).or_default() += 1;
             }
--- a/crates/gateway/src/batch/owner.rs
+++ b/crates/gateway/src/batch/owner.rs
@@ -223,7 +223,7 @@
 
     fn give_up(&mut self, handles: Vec<String>) {
         for handle in handles.into_iter().map(Handle::from) {
-            if let Some(address) = D::keeper(&handle) {
+            if let Some(address) = D::holder(&handle) {
                 self.free.entry(address).or_default().push(handle);
             }
         }
@@ -266,7 +266,7 @@
     /// How many upstreams of a section take calls.
     fn lanes(&self, section: &Section, now: Instant) -> usize {
         let upstreams = self.shared.directory().members(section);
-        upstreams.iter().filter(|it| it.is_open() && !it.is_paused(now)).count()
+        upstreams.iter().filter(|it| it.is_open() && !it.is_ejected(now)).count()
     }
 
     /// Whether an upstream works on a call of another section: the list may have changed meanwhile.
@@ -285,7 +285,7 @@
                 id: Arc::clone(&it.id),
                 domain: Arc::clone(&it.domain),
                 open: it.is_open()
-                    && !it.is_paused(now)
+                    && !it.is_ejected(now)
                     && !self.works_elsewhere(&it.id, section)
                     && self.is_surveyed(it, section, now),
             })
--- a/crates/gateway/src/batch/owner/jobs.rs
+++ b/crates/gateway/src/batch/owner/jobs.rs
@@ -44,7 +44,7 @@
             let _ = replies.send(FromOwner::Results(done));
             return;
         };
-        self.shared.budget.request(&service, now);
+        self.shared.budget.record_request(&service, now);
         let section = match asked.domain {
             Some(domain) => Section { service, domain: Some(domain.into()) },
             // Of an entry that knows no sections. Another owner works with the rest of the upstreams.
@@ -52,7 +52,7 @@
         };
         let key = JobKey { origin, id: job.id };
         let left = job.segments.iter().copied().collect();
-        let alone = asked.digest.is_some_and(|it| self.shared.suspects.is_suspected(&it));
+        let alone = asked.digest.is_some_and(|it| self.shared.quarantine.is_suspected(&it));
         let queue = self.queues.entry(section.clone()).or_insert_with(|| Queue::new(spec));
         queue.set_spec(spec);
         for piece in pieces(key, job, now) {
--- a/crates/gateway/src/batch/owner/results.rs
+++ b/crates/gateway/src/batch/owner/results.rs
@@ -12,9 +12,9 @@
 use crate::batch::queue::{JobKey, Piece};
 use crate::dialect::{Dialect, PieceFailure, PieceResult};
 use crate::exchange::Cause;
-use crate::life::Life;
+use crate::incarnation::Incarnation;
+use crate::quarantine::RunTimes;
 use crate::section::Section;
-use crate::suspects::RunTimes;
 
 /// How often one piece may be sent.
 const SENDS: u32 = 3;
@@ -52,7 +52,7 @@
     /// Puts a piece that is still wanted back, if it may be sent again; returns whether it was.
     fn put_again(&mut self, piece: &Piece, now: Instant) -> bool {
         let Some(open) = self.jobs.get(&piece.job) else { return false };
-        let held = piece.request.is_some_and(|it| self.shared.suspects.is_held(&it));
+        let held = piece.request.is_some_and(|it| self.shared.quarantine.is_quarantined(&it));
         if held || piece.sent >= SENDS || !open.left.contains(&piece.segment) {
             return false;
         }
@@ -81,19 +81,19 @@
         }
         match end.outcome {
             Ok(ref answer) => {
-                let life = end.upstream.observe(answer.born);
-                if life == Life::Past {
+                let life = end.upstream.observe(answer.start_time);
+                if life == Incarnation::Ended {
                     log::warn!(upstream:% = end.upstream.id, pieces = end.pieces.len();
                         "results of a life that has ended");
                     self.requeue_all(&end.pieces, &again, now);
                     return;
                 }
-                if life == Life::New
+                if life == Incarnation::Newer
                     && let Some(queue) = self.queues.get_mut(&end.section)
                 {
                     queue.reborn(&end.upstream.id);
                 }
-                end.upstream.succeeded();
+                end.upstream.record_success();
                 for (piece, result) in end.pieces.iter().zip(&answer.results) {
                     let elsewhere = again.contains(&(piece.job, piece.segment));
                     self.take_result(&end, piece, result.clone(), elsewhere, now);
@@ -104,7 +104,7 @@
                     pieces = end.pieces.len(), cause:% = fault,
                     ms = end.took.as_millis() as u64; "a call with pieces failed");
                 if !fault.not_run || fault.unreachable {
-                    end.upstream.failed(fault.unreachable);
+                    end.upstream.record_failure(fault.unreachable);
                 }
                 match fault.cause {
                     Cause::Lost => self.note_lost(&mut end, now),
@@ -134,7 +134,7 @@
             end.pieces.iter().filter_map(|it| it.request).collect();
         for request in requests {
             let times = RunTimes { sent, first: None };
-            self.shared.suspects.lost(request, &end.upstream, times);
+            self.shared.quarantine.record_lost_run(request, &end.upstream, times);
         }
         for piece in &mut end.pieces {
             piece.lost += 1;
--- a/crates/gateway/src/batch/owner/room.rs
+++ b/crates/gateway/src/batch/owner/room.rs
@@ -12,7 +12,7 @@
 use super::{OwnerEvent, State};
 use crate::dialect::{Dialect, RoomReport};
 use crate::exchange;
-use crate::life::Life;
+use crate::incarnation::Incarnation;
 use crate::section::Section;
 use crate::upstream::Upstream;
 
@@ -68,10 +68,10 @@
         }
         let Some(report) = report else { return };
         let Some(queue) = self.queues.get_mut(section) else { return };
-        match upstream.observe(report.born) {
-            Life::Past => return,
-            Life::New => queue.reborn(&upstream.id),
-            Life::Same => {}
+        match upstream.observe(report.start_time) {
+            Incarnation::Ended => return,
+            Incarnation::Newer => queue.reborn(&upstream.id),
+            Incarnation::Current => {}
         }
         let Some(free) = report.free else { return };
         queue.set_free(&upstream.id, free, now);
--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -49,7 +49,7 @@
     }
 
     /// Counts a request for a service.
-    pub fn request(&self, service: &Arc<str>, now: Instant) {
+    pub fn record_request(&self, service: &Arc<str>, now: Instant) {
         self.with_account(service, now, |account, bucket| account.bucket_mut(bucket).1 += 1);
     }
 
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode};
 
-pub use crate::life::Born;
+pub use crate::incarnation::StartTime;
 use crate::plan::Plan;
 
 /// A part of a prompt that several requests may share.
@@ -42,7 +42,7 @@
 
 /// The decoded head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestHead {
     /// The caller's id of this attempt.
     pub attempt: String,
     /// How long the caller waits.
@@ -59,7 +59,7 @@
 
 /// What the entry adds to the head of a request to an upstream.
 #[derive(Clone, Debug, Default)]
-pub struct Marks<'a> {
+pub struct ForwardHead<'a> {
     /// The incarnation of the upstream that must run the request.
     pub upstream: &'a str,
     /// The time left until the deadline.
@@ -76,7 +76,7 @@
 
 /// The decoded head of an upstream's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AnswerMarks {
+pub struct AnswerHead {
     /// Whether it repeats the attempt's id.
     pub same_attempt: bool,
     /// Whether it bears the upstream's seal.
@@ -134,7 +134,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PieceAnswer {
     /// When the sender started, if it says so.
-    pub born: Option<Born>,
+    pub start_time: Option<StartTime>,
     /// The results, in the order of the call.
     pub results: Vec<PieceResult>,
 }
@@ -143,7 +143,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoomReport {
     /// When the sender started, if it says so.
-    pub born: Option<Born>,
+    pub start_time: Option<StartTime>,
     /// The bytes that were free for results some hundred milliseconds ago.
     pub free: Option<u64>,
 }
@@ -163,39 +163,39 @@
     ///
     /// # Errors
     /// Returns a description of what is invalid in the plan.
-    fn plan(text: &[u8]) -> Result<Plan, String>;
+    fn decode_plan(text: &[u8]) -> Result<Plan, String>;
 
     /// Decodes the head of a request.
     ///
     /// # Errors
     /// Returns a description of what is invalid in the head.
-    fn ask(headers: &HeaderMap) -> Result<Ask, String>;
+    fn decode_request(headers: &HeaderMap) -> Result<RequestHead, String>;
 
     /// Removes the headers that a caller may not set, and the caller's key.
-    fn strip(headers: &mut HeaderMap);
+    fn strip_headers(headers: &mut HeaderMap);
 
     /// Adds the entry's headers.
-    fn mark(headers: &mut HeaderMap, marks: &Marks<'_>);
+    fn add_headers(headers: &mut HeaderMap, head: &ForwardHead<'_>);
 
     /// Decodes the head of an upstream's answer to `attempt`.
-    fn answer(status: StatusCode, headers: &HeaderMap, attempt: &str) -> AnswerMarks;
+    fn decode_answer(status: StatusCode, headers: &HeaderMap, attempt: &str) -> AnswerHead;
 
     /// Encodes a call with pieces.
-    fn pieces(calls: &[PieceCall]) -> Bytes;
+    fn encode_pieces(calls: &[PieceCall]) -> Bytes;
 
     /// Decodes the answer to a call with pieces.
     ///
     /// # Errors
     /// Returns a description of what is invalid in the answer.
-    fn results(body: &[u8]) -> Result<PieceAnswer, String>;
+    fn decode_results(body: &[u8]) -> Result<PieceAnswer, String>;
 
     /// Decodes an upstream's report of its free memory. Fields that can't be decoded are left
     /// empty.
-    fn room(body: &[u8]) -> RoomReport;
+    fn decode_room(body: &[u8]) -> RoomReport;
 
     /// Encodes a call that frees results.
-    fn free(handles: &[Handle]) -> Bytes;
+    fn encode_free(handles: &[Handle]) -> Bytes;
 
     /// Returns the address at which a result is kept, or `None` for an invalid handle.
-    fn keeper(handle: &str) -> Option<std::net::SocketAddr>;
+    fn holder(handle: &str) -> Option<std::net::SocketAddr>;
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use crate::dialect::{AnswerMarks, Dialect, Handle, PieceAnswer, PieceCall, RoomReport};
+use crate::dialect::{AnswerHead, Dialect, Handle, PieceAnswer, PieceCall, RoomReport};
 use crate::upstream::{ConnectError, Lease, Upstream};
 
 /// The largest answer to one of the entry's own calls, in bytes.
@@ -91,7 +91,7 @@
 pub(crate) struct Opened {
     pub(crate) response: Response<Incoming>,
     pub(crate) lease: Lease,
-    pub(crate) head: AnswerMarks,
+    pub(crate) head: AnswerHead,
 }
 
 /// Sends a request and waits for the head of its answer.
@@ -123,7 +123,7 @@
             },
             Err(_) => return Err(Fault::unknown(Cause::Timeout)),
         };
-        let head = D::answer(response.status(), response.headers(), attempt);
+        let head = D::decode_answer(response.status(), response.headers(), attempt);
         return Ok(Opened { response, lease, head });
     }
 }
@@ -204,7 +204,7 @@
     calls: &[PieceCall],
     deadline: Instant,
 ) -> Result<PieceAnswer, Fault> {
-    let request = own_call::<D>(upstream, D::PIECES_PATH, D::pieces(calls), deadline);
+    let request = own_call::<D>(upstream, D::PIECES_PATH, D::encode_pieces(calls), deadline);
     let opened = send::<D>(upstream, request, "", deadline).await?;
     let status = opened.response.status();
     if status != StatusCode::OK {
@@ -216,7 +216,7 @@
     }
     let Opened { mut response, lease, head } = opened;
     let body = read_short(response.body_mut(), deadline).await?;
-    let answer = D::results(&body).map_err(|why| {
+    let answer = D::decode_results(&body).map_err(|why| {
         log::warn!(upstream:% = upstream.id, cause = why.as_str();
             "failed to decode the results of a call");
         Fault::unknown(Cause::Malformed("unreadable results"))
@@ -239,7 +239,7 @@
     let body = read_short(response.body_mut(), deadline).await?;
     lease.keep(head.keep_alive);
     match response.status() {
-        StatusCode::OK => Ok(D::room(&body)),
+        StatusCode::OK => Ok(D::decode_room(&body)),
         status => Err(Fault::refused(status)),
     }
 }
@@ -250,7 +250,7 @@
     handles: &[Handle],
 ) -> Result<(), Fault> {
     let deadline = Instant::now() + FREE_TIMEOUT;
-    let request = own_call::<D>(upstream, D::FREE_PATH, D::free(handles), deadline);
+    let request = own_call::<D>(upstream, D::FREE_PATH, D::encode_free(handles), deadline);
     let Opened { mut response, lease, head } = send::<D>(upstream, request, "", deadline).await?;
     read_short(response.body_mut(), deadline).await?;
     lease.keep(head.keep_alive);
@@ -273,7 +273,8 @@
         headers.insert(header::HOST, host);
     }
     let left = deadline.saturating_duration_since(Instant::now());
-    let forward_head = crate::dialect::Marks { upstream: &upstream.id, left, ..Default::default() };
-    D::mark(headers, &forward_head);
+    let forward_head =
+        crate::dialect::ForwardHead { upstream: &upstream.id, left, ..Default::default() };
+    D::add_headers(headers, &forward_head);
     request
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -142,14 +142,14 @@
     let plan = shared.wait_for_plan().await.ok_or(Refusal::NoPlan)?;
     let request =
         CallerRequest::read::<D>(plan, request, arrived, shared.body_memory.reserve()).await?;
-    if let Err(it) = shared.suspects.admit(&request).await {
+    if let Err(it) = shared.quarantine.admit(&request).await {
         log::info!(request = request.head.attempt.as_str(), digest:% = request.digest(),
             after_ms = it.after.as_millis() as u64;
             "refused a quarantined request: upstreams end under it");
         return Err(Refusal::Quarantined(it.after));
     }
     let service = request.route.service(rand::random()).cloned().ok_or(Refusal::NoUpstream)?;
-    shared.budget.request(&service, arrived);
+    shared.budget.record_request(&service, arrived);
     let engine = request.plan.services.get(&service).is_some_and(|it| it.engine.is_some());
     let (attempt, deadline) = (request.head.attempt.clone(), request.first_event_by);
     let (kind, late) = (request.route.kind, request.timeout_watch());
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -15,10 +15,10 @@
 use crate::drain::Phase;
 use crate::front;
 use crate::metrics::Metrics;
+use crate::quarantine::Quarantine;
 use crate::section::LinkRate;
 use crate::shared::Shared;
 use crate::stream::Streams;
-use crate::suspects::Quarantine;
 
 /// How long a draining entry stays up for the balancer to remove it: the balancer checks once a
 /// second and removes an entry after two failed checks.
@@ -94,9 +94,10 @@
         let seeds = config.seeds.clone();
         let follower = FollowerConfig { entry, vm: config.vm, seeds };
         let follower = Follower::spawn(follower, secret.clone());
-        let suspects = Quarantine::new(follower.quarantine(), follower.evidence(), config.address);
+        let quarantine =
+            Quarantine::new(follower.quarantine(), follower.evidence(), config.address);
         let shared =
-            Shared::<D>::new(config.address, domain, config.link, (budget, metrics), suspects);
+            Shared::<D>::new(config.address, domain, config.link, (budget, metrics), quarantine);
         let shared = Arc::new(shared);
         let owner = Owner::spawn(OwnerConfig { shared: Arc::clone(&shared) });
         tokio::spawn(accept(listener, owner.clone(), follower.news()));
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/incarnation.rs
@@ -12,15 +12,15 @@
 
 /// The start time of an incarnation, in Unix milliseconds of the upstream's own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Born(pub u64);
+pub struct StartTime(pub u64);
 
-impl fmt::Display for Born {
+impl fmt::Display for StartTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
 }
 
-impl FromStr for Born {
+impl FromStr for StartTime {
     type Err = ParseIntError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -30,29 +30,29 @@
 
 /// The incarnation that sent a message, compared with the newest known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum Incarnation {
     /// The known one. Also used if the message has no start time, or is the first one that has.
-    Same,
+    Current,
     /// A newer one: all knowledge about the previous one is void.
-    New,
+    Newer,
     /// One that has ended: the message is void.
-    Past,
+    Ended,
 }
 
 /// The start time of the newest known incarnation of an upstream; 0 if none is known.
 #[derive(Debug, Default)]
-pub struct Lives(AtomicU64);
+pub struct LatestIncarnation(AtomicU64);
 
-impl Lives {
+impl LatestIncarnation {
     /// Compares the start time in a message with the known one, and keeps the newer of them.
-    pub fn observe(&self, born: Option<Born>) -> Life {
-        let Some(Born(born)) = born else { return Life::Same };
-        let known = self.0.fetch_max(born, Ordering::Relaxed);
-        match born.cmp(&known) {
-            _ if known == 0 => Life::Same,
-            std::cmp::Ordering::Less => Life::Past,
-            std::cmp::Ordering::Equal => Life::Same,
-            std::cmp::Ordering::Greater => Life::New,
+    pub fn observe(&self, start_time: Option<StartTime>) -> Incarnation {
+        let Some(StartTime(start_ms)) = start_time else { return Incarnation::Current };
+        let known = self.0.fetch_max(start_ms, Ordering::Relaxed);
+        match start_ms.cmp(&known) {
+            _ if known == 0 => Incarnation::Current,
+            std::cmp::Ordering::Less => Incarnation::Ended,
+            std::cmp::Ordering::Equal => Incarnation::Current,
+            std::cmp::Ordering::Greater => Incarnation::Newer,
         }
     }
 }
--- a/crates/gateway/src/offers.rs
+++ b/crates/gateway/src/offers.rs
@@ -33,7 +33,7 @@
 
     /// Adds an upstream to which the request is offered now.
     pub(crate) fn add(&mut self, upstream: &Upstream, now: Instant) {
-        self.was_ejected = upstream.is_paused(now);
+        self.was_ejected = upstream.is_ejected(now);
         self.counted += 1;
         self.tried.push(Arc::clone(&upstream.id));
     }
--- a/crates/gateway/src/offers/tests.rs
+++ b/crates/gateway/src/offers/tests.rs
@@ -51,7 +51,7 @@
     };
     let upstream = Upstream::new(&listed, 1);
     if ejected {
-        upstream.failed(true);
+        upstream.record_failure(true);
     }
     upstream
 }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -12,14 +12,14 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
 
-use crate::dialect::{AnswerMarks, Dialect};
+use crate::dialect::{AnswerHead, Dialect};
 use crate::exchange::{self, Cause, Fault, Opened, Read};
 use crate::offers::Offers;
 use crate::plan::RouteKind;
+use crate::quarantine::RunTimes;
 use crate::reply::{Refusal, Reply, ReplyBody, Truncated, strip_hop_by_hop};
 use crate::request::CallerRequest;
 use crate::shared::Shared;
-use crate::suspects::RunTimes;
 use crate::upstream::{Lease, Upstream};
 
 /// The largest answer that is buffered before it is forwarded, in bytes. Up to this size, an answer
@@ -58,7 +58,7 @@
         let directory = shared.directory();
         let upstream = choose(shared, directory.service(service), offers.tried(), now).cloned();
         let Some(upstream) = upstream else { break };
-        if let Err(it) = shared.suspects.check(request) {
+        if let Err(it) = shared.quarantine.check(request) {
             return if runs > 0 {
                 Err(Refusal::Failed)
             } else {
@@ -85,9 +85,9 @@
             }
             Ok(answer) => {
                 if !answer.status.is_server_error() {
-                    upstream.succeeded();
+                    upstream.record_success();
                 }
-                shared.suspects.record_completed(request);
+                shared.quarantine.record_completed(request);
                 shared.metrics.calls.with_label_values(&["answered"]).inc();
                 return Ok(reply(answer));
             }
@@ -95,7 +95,7 @@
                 record_failed_call(shared, request, &upstream, &fault);
                 if fault.cause == Cause::Lost {
                     let times = RunTimes { sent: now, first: None };
-                    shared.suspects.lost(request.digest(), &upstream, times);
+                    shared.quarantine.record_lost_run(request.digest(), &upstream, times);
                 }
                 if fault.not_run {
                     reached_upstream = reached_before || !fault.is_unsent();
@@ -149,7 +149,7 @@
         path = request.uri.path(), age_ms = request.arrived.elapsed().as_millis() as u64;
         "a call of an upstream failed");
     if fault.unreachable || !fault.not_run {
-        upstream.failed(fault.unreachable);
+        upstream.record_failure(fault.unreachable);
     }
 }
 
@@ -164,7 +164,7 @@
     let open = upstreams.iter().filter(|it| it.is_open() && !tried.contains(&it.id));
     let rank = |it: &&Arc<Upstream>| {
         let away = u32::from(it.domain != shared.domain);
-        (it.is_paused(now), it.total_running() + away, rand::random::<u16>())
+        (it.is_ejected(now), it.total_running() + away, rand::random::<u16>())
     };
     open.min_by_key(rank)
 }
@@ -209,7 +209,7 @@
 async fn pipe(
     start: Bytes,
     mut body: Incoming,
-    (lease, head): (Lease, AnswerMarks),
+    (lease, head): (Lease, AnswerHead),
     bytes: mpsc::Sender<Result<Bytes, Truncated>>,
     end: Instant,
 ) {
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -97,7 +97,7 @@
     }
 
     /// Returns whether a request may not be sent to upstreams now.
-    pub(crate) fn is_held(&self, digest: &RequestDigest) -> bool {
+    pub(crate) fn is_quarantined(&self, digest: &RequestDigest) -> bool {
         let known = self.known.borrow();
         matches!(self.standing(&known, digest), Standing::Held(_))
     }
@@ -176,7 +176,12 @@
     }
 
     /// Records that a run lost its connection, and probes whether its upstream has ended.
-    pub(crate) fn lost(&self, digest: RequestDigest, upstream: &Upstream, times: RunTimes) {
+    pub(crate) fn record_lost_run(
+        &self,
+        digest: RequestDigest,
+        upstream: &Upstream,
+        times: RunTimes,
+    ) {
         let now = Instant::now();
         if times.first.is_some_and(|it| now.duration_since(it) > CRASH_WINDOW) {
             return;
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::body_memory::Reservation;
-use crate::dialect::{Ask, Dialect, Handle, Marks};
+use crate::dialect::{Dialect, ForwardHead, Handle, RequestHead};
 use crate::plan::{Customer, Plan, Route, RouteKind};
 use crate::reply::{Refusal, strip_hop_by_hop};
 use crate::upstream::Upstream;
@@ -47,7 +47,7 @@
 pub(crate) struct CallerRequest {
     pub(crate) plan: Arc<Plan>,
     pub(crate) route: Arc<Route>,
-    pub(crate) head: Ask,
+    pub(crate) head: RequestHead,
     pub(crate) customer: Option<Customer>,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
@@ -82,7 +82,7 @@
         let host = headers.get(header::HOST).and_then(|it| it.to_str().ok()).unwrap_or_default();
         let route = plan.route(host, uri.path()).ok_or(Refusal::NoRoute)?;
         let route = Arc::clone(route);
-        let head = D::ask(&headers).map_err(|why| {
+        let head = D::decode_request(&headers).map_err(|why| {
             log::info!(cause = why.as_str(); "refused a request with an invalid head");
             Refusal::BadHead
         })?;
@@ -92,7 +92,7 @@
         let first_event_by = deadline.min(arrived + patience(&route));
         let body = read_body(&plan, &headers, body, &mut body_memory, deadline).await?;
         strip_hop_by_hop(&mut headers);
-        D::strip(&mut headers);
+        D::strip_headers(&mut headers);
         let may_have_run = Arc::new(AtomicBool::new(false));
         Ok(Self {
             plan,
@@ -174,7 +174,7 @@
         *headers = self.headers.clone();
         let left = self.deadline.saturating_duration_since(Instant::now());
         let generates = self.head.generation.is_some();
-        let forward_head = Marks {
+        let forward_head = ForwardHead {
             upstream: &upstream.id,
             left,
             customer: self.customer.as_ref().map(|it| &*it.name),
@@ -182,7 +182,7 @@
             priority: generates.then(|| self.rank()),
             last_event,
         };
-        D::mark(headers, &forward_head);
+        D::add_headers(headers, &forward_head);
         self.may_have_run.store(true, Ordering::Relaxed);
         request
     }
@@ -222,7 +222,7 @@
     }
 }
 
-fn customer(plan: &Plan, route: &Route, head: &Ask) -> Result<Option<Customer>, Refusal> {
+fn customer(plan: &Plan, route: &Route, head: &RequestHead) -> Result<Option<Customer>, Refusal> {
     let Some(customers) = plan.customers.as_ref().filter(|_| !route.open) else {
         return Ok(None);
     };
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -20,8 +20,8 @@
 use crate::metrics::Metrics;
 use crate::plan::Plan;
 use crate::prefill::PrefillTimes;
+use crate::quarantine::Quarantine;
 use crate::section::{self, LinkRate, Section};
-use crate::suspects::Quarantine;
 
 #[cfg(test)]
 mod tests;
@@ -58,7 +58,7 @@
     pub(crate) backlogs: Arc<Backlogs>,
     pub(crate) prefill_times: PrefillTimes,
     pub(crate) body_memory: MemoryBudget,
-    pub(crate) suspects: Quarantine,
+    pub(crate) quarantine: Quarantine,
     dialect: PhantomData<D>,
 }
 
@@ -68,7 +68,7 @@
         domain: Arc<str>,
         link: LinkRate,
         (budget, metrics): (Budget, Metrics),
-        suspects: Quarantine,
+        quarantine: Quarantine,
     ) -> Self {
         Self {
             plan: ArcSwapOption::empty(),
@@ -87,7 +87,7 @@
             backlogs: Arc::default(),
             prefill_times: PrefillTimes::default(),
             body_memory: MemoryBudget::new(BODY_MEMORY_BYTES),
-            suspects,
+            quarantine,
             dialect: PhantomData,
         }
     }
@@ -176,7 +176,7 @@
                 }
                 _ = idle_check.tick() => {
                     self.directory().all().for_each(|it| it.close_idle(false));
-                    self.metrics.quarantined.set(self.suspects.held_count() as i64);
+                    self.metrics.quarantined.set(self.quarantine.held_count() as i64);
                 }
             }
         }
@@ -242,7 +242,7 @@
     }
 
     fn apply_plan(&self, text: &[u8]) {
-        match D::plan(text) {
+        match D::decode_plan(text) {
             Ok(plan) => {
                 log::info!(version:% = plan.version, routes = plan.routes.len(),
                     services = plan.services.len(); "a plan is in force");
--- a/crates/gateway/src/shared/tests.rs
+++ b/crates/gateway/src/shared/tests.rs
@@ -8,7 +8,9 @@
 
 use super::*;
 use crate::budget::BudgetSpec;
-use crate::dialect::{AnswerMarks, Ask, Handle, Marks, PieceAnswer, PieceCall, RoomReport};
+use crate::dialect::{
+    AnswerHead, ForwardHead, Handle, PieceAnswer, PieceCall, RequestHead, RoomReport,
+};
 
 /// A dialect in which every plan is empty, and every other message too.
 struct EmptyDialect;
@@ -19,39 +21,39 @@
     const REPORT_PATH: &'static str = "";
     const FREE_PATH: &'static str = "";
 
-    fn plan(_: &[u8]) -> Result<Plan, String> {
+    fn decode_plan(_: &[u8]) -> Result<Plan, String> {
         Ok(Plan::default())
     }
 
-    fn ask(_: &HeaderMap) -> Result<Ask, String> {
+    fn decode_request(_: &HeaderMap) -> Result<RequestHead, String> {
         Err(String::new())
     }
 
-    fn strip(_: &mut HeaderMap) {}
+    fn strip_headers(_: &mut HeaderMap) {}
 
-    fn mark(_: &mut HeaderMap, _: &Marks<'_>) {}
+    fn add_headers(_: &mut HeaderMap, _: &ForwardHead<'_>) {}
 
-    fn answer(_: StatusCode, _: &HeaderMap, _: &str) -> AnswerMarks {
-        AnswerMarks::default()
+    fn decode_answer(_: StatusCode, _: &HeaderMap, _: &str) -> AnswerHead {
+        AnswerHead::default()
     }
 
-    fn pieces(_: &[PieceCall]) -> Bytes {
+    fn encode_pieces(_: &[PieceCall]) -> Bytes {
         Bytes::new()
     }
 
-    fn results(_: &[u8]) -> Result<PieceAnswer, String> {
+    fn decode_results(_: &[u8]) -> Result<PieceAnswer, String> {
         Err(String::new())
     }
 
-    fn room(_: &[u8]) -> RoomReport {
+    fn decode_room(_: &[u8]) -> RoomReport {
         RoomReport::default()
     }
 
-    fn free(_: &[Handle]) -> Bytes {
+    fn encode_free(_: &[Handle]) -> Bytes {
         Bytes::new()
     }
 
-    fn keeper(_: &str) -> Option<SocketAddr> {
+    fn holder(_: &str) -> Option<SocketAddr> {
         None
     }
 }
@@ -63,8 +65,8 @@
     let spec = BudgetSpec { ratio: 0.2, window: Duration::from_secs(10), burst: 1.0 };
     let budget = Budget::new(spec, Instant::now());
     let metrics = Metrics::open(&telemetry::open_registry()).expect("metrics");
-    let suspects = Quarantine::new(known, evidence, own);
-    Shared::new(own, "d".into(), LinkRate::from_megabits(10.0), (budget, metrics), suspects)
+    let quarantine = Quarantine::new(known, evidence, own);
+    Shared::new(own, "d".into(), LinkRate::from_megabits(10.0), (budget, metrics), quarantine)
 }
 
 struct Case {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -20,11 +20,11 @@
 use crate::offers::Offers;
 use crate::phases::Phases;
 use crate::plain::record_failed_call;
+use crate::quarantine::RunTimes;
 use crate::reply::{Refusal, Reply, ReplyBody};
 use crate::request::CallerRequest;
 use crate::shared::Shared;
 use crate::stages::{self, Inputs, StageFailure, StageRun};
-use crate::suspects::RunTimes;
 
 use self::choice::Criteria;
 use self::open::{AttachedStream, EngineAnswer, open};
@@ -137,7 +137,7 @@
                     self.shared.metrics.record_engine(service, now.elapsed());
                     self.shared.metrics.calls.with_label_values(&["answered"]).inc();
                     if matches!(tried, EngineAnswer::Answer(_)) {
-                        self.shared.suspects.record_completed(request);
+                        self.shared.quarantine.record_completed(request);
                     }
                     return Ok(tried);
                 }
@@ -146,7 +146,7 @@
             record_failed_call(&self.shared, request, &upstream, &fault);
             if fault.cause == Cause::Lost {
                 let times = RunTimes { sent: now, first: None };
-                self.shared.suspects.lost(request.digest(), &upstream, times);
+                self.shared.quarantine.record_lost_run(request.digest(), &upstream, times);
             }
             tries.reached_upstream |= !fault.is_unsent();
             if fault.not_run {
@@ -175,7 +175,7 @@
     fn check_quarantine(&self, request: &CallerRequest, tries: &Tries) -> Result<(), Refusal> {
         let refusal =
             |after| if tries.runs > 0 { Refusal::Failed } else { Refusal::Quarantined(after) };
-        self.shared.suspects.check(request).map_err(|it| refusal(it.after))
+        self.shared.quarantine.check(request).map_err(|it| refusal(it.after))
     }
 
     /// Refuses a request whose stages would take too long, before any work is done for it.
--- a/crates/gateway/src/stream/choice.rs
+++ b/crates/gateway/src/stream/choice.rs
@@ -37,8 +37,8 @@
         let open = directory.service(service).iter();
         let open = open.filter(|it| it.is_open() && !criteria.tried.contains(&it.id)).cloned();
         let mut candidates: Vec<Arc<Upstream>> = open.collect();
-        if candidates.iter().any(|it| !it.is_paused(now)) {
-            candidates.retain(|it| !it.is_paused(now));
+        if candidates.iter().any(|it| !it.is_ejected(now)) {
+            candidates.retain(|it| !it.is_ejected(now));
         }
         let load = |it: &Upstream| Load {
             running: f64::from(it.total_running()),
--- a/crates/gateway/src/stream/open.rs
+++ b/crates/gateway/src/stream/open.rs
@@ -12,9 +12,9 @@
 use crate::dialect::Dialect;
 use crate::events::{Event, EventSplitter};
 use crate::exchange::{self, Cause, Fault, Opened, Read};
+use crate::quarantine::RunTimes;
 use crate::reply::{Reply, ReplyBody, strip_hop_by_hop};
 use crate::request::CallerRequest;
-use crate::suspects::RunTimes;
 use crate::upstream::{Lease, RunningRequest, Upstream};
 
 /// The largest answer of an engine that is not a stream, in bytes.
--- a/crates/gateway/src/stream/pump.rs
+++ b/crates/gateway/src/stream/pump.rs
@@ -50,15 +50,15 @@
             let shared = Arc::clone(&self.streams.shared);
             let why = match self.forward_events(attached).await {
                 ForwardEnd::Whole => {
-                    upstream.succeeded();
-                    shared.suspects.record_completed(&self.request);
+                    upstream.record_success();
+                    shared.quarantine.record_completed(&self.request);
                     return;
                 }
                 ForwardEnd::CallerLeft => return,
                 ForwardEnd::Late => "deadline passed",
                 ForwardEnd::Lost(why) => {
-                    upstream.failed(false);
-                    shared.suspects.lost(self.request.digest(), &upstream, times);
+                    upstream.record_failure(false);
+                    shared.quarantine.record_lost_run(self.request.digest(), &upstream, times);
                     match self.resume(&upstream.id, why).await {
                         Some(next) => {
                             attached = next;
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -15,7 +15,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout_at};
 
-use crate::life::{Born, Life, Lives};
+use crate::incarnation::{Incarnation, LatestIncarnation, StartTime};
 use crate::place::score;
 
 /// The timeout for opening a connection. A lost SYN packet is sent again only after seconds, so a
@@ -67,7 +67,7 @@
     pub domain: Arc<str>,
     /// How many requests it runs at once.
     pub slots: u32,
-    lives: Lives,
+    latest: LatestIncarnation,
     draining: AtomicBool,
     running: AtomicU32,
     tokens: AtomicU64,
@@ -122,7 +122,7 @@
             address: listed.address,
             domain: listed.domain.as_str().into(),
             slots: listed.slots,
-            lives: Lives::default(),
+            latest: LatestIncarnation::default(),
             draining: AtomicBool::new(listed.health == registry::Health::Draining),
             running: AtomicU32::new(0),
             tokens: AtomicU64::new(0),
@@ -154,7 +154,7 @@
     }
 
     /// Returns whether the upstream is ejected because of failures.
-    pub fn is_paused(&self, now: Instant) -> bool {
+    pub fn is_ejected(&self, now: Instant) -> bool {
         let health = self.health.lock().unwrap_or_else(PoisonError::into_inner);
         health.ejected_until.is_some_and(|it| now < it)
     }
@@ -194,19 +194,19 @@
 
     /// Compares the start time in a message from the upstream with the known one. With a newer
     /// incarnation, the failures are forgotten and idle connections to the older one are closed.
-    pub fn observe(&self, born: Option<Born>) -> Life {
-        let life = self.lives.observe(born);
-        if life == Life::New {
-            log::info!(upstream:% = self.id, born:% = born.map_or(0, |it| it.0);
+    pub fn observe(&self, start_time: Option<StartTime>) -> Incarnation {
+        let incarnation = self.latest.observe(start_time);
+        if incarnation == Incarnation::Newer {
+            log::info!(upstream:% = self.id, born:% = start_time.map_or(0, |it| it.0);
                 "an upstream has restarted");
             *self.health.lock().unwrap_or_else(PoisonError::into_inner) = Health::default();
             self.close_idle(true);
         }
-        life
+        incarnation
     }
 
     /// Records a success, which ends an ejection.
-    pub(crate) fn succeeded(&self) {
+    pub(crate) fn record_success(&self) {
         let mut health = self.health.lock().unwrap_or_else(PoisonError::into_inner);
         if health.ejected_until.take().is_some() {
             log::info!(upstream:% = self.id; "an ejected upstream works again");
@@ -216,7 +216,7 @@
 
     /// Records a failure, and ejects the upstream after too many. `hard` means that it can't be
     /// reached at all, which ejects it at once.
-    pub(crate) fn failed(&self, hard: bool) {
+    pub(crate) fn record_failure(&self, hard: bool) {
         let mut health = self.health.lock().unwrap_or_else(PoisonError::into_inner);
         health.failures += 1;
         let counted =
--- a/crates/gateway/tests/pure.rs
+++ b/crates/gateway/tests/pure.rs
@@ -9,7 +9,7 @@
 use gateway::dialect::{Generation, PromptPart};
 use gateway::events::EventSplitter;
 use gateway::guard::HeadScanner;
-use gateway::life::{Born, Life};
+use gateway::incarnation::{Incarnation, StartTime};
 use gateway::place::{Load, Placement, place};
 use gateway::prefill::PrefillTimes;
 use tokio::time::Instant;
@@ -266,7 +266,7 @@
     let budget = Budget::new(spec, start);
     let service: Arc<str> = "s".into();
     for _ in 0..100 {
-        budget.request(&service, start);
+        budget.record_request(&service, start);
     }
     let granted = (0..100).filter(|_| budget.take(&service, 1, 8, start)).count();
     // A fifth of 100 requests, and an eighth of the burst.
@@ -298,31 +298,56 @@
     assert!(idle * 2 < likely, "{idle:?} at an idle engine, {likely:?} in the mean");
 }
 
-struct LifeCase {
+struct IncarnationCase {
     name: &'static str,
     /// The start times in the messages, in the order in which they arrive.
-    told: &'static [Option<u64>],
+    messages: &'static [Option<u64>],
     /// The result for the last message.
-    last: Life,
+    last: Incarnation,
 }
 
-const LIVES: &[LifeCase] = &[
-    LifeCase { name: "the first that tells", told: &[None, Some(7)], last: Life::Same },
-    LifeCase { name: "the same again", told: &[Some(7), Some(7)], last: Life::Same },
-    LifeCase { name: "one that does not tell", told: &[Some(7), None], last: Life::Same },
-    LifeCase { name: "a new life", told: &[Some(7), Some(9)], last: Life::New },
-    LifeCase { name: "a late word of the old life", told: &[Some(9), Some(7)], last: Life::Past },
-    LifeCase { name: "after a late word", told: &[Some(9), Some(7), Some(9)], last: Life::Same },
+const INCARNATIONS: &[IncarnationCase] = &[
+    IncarnationCase {
+        name: "the first with a start time",
+        messages: &[None, Some(7)],
+        last: Incarnation::Current,
+    },
+    IncarnationCase {
+        name: "the same again",
+        messages: &[Some(7), Some(7)],
+        last: Incarnation::Current,
+    },
+    IncarnationCase {
+        name: "one without a start time",
+        messages: &[Some(7), None],
+        last: Incarnation::Current,
+    },
+    IncarnationCase {
+        name: "a newer incarnation",
+        messages: &[Some(7), Some(9)],
+        last: Incarnation::Newer,
+    },
+    IncarnationCase {
+        name: "a late message of the older incarnation",
+        messages: &[Some(9), Some(7)],
+        last: Incarnation::Ended,
+    },
+    IncarnationCase {
+        name: "after a late message",
+        messages: &[Some(9), Some(7), Some(9)],
+        last: Incarnation::Current,
+    },
 ];
 
 /// Guards against requests that get results that are gone, and against a working upstream whose
 /// state is discarded. An upstream restarts under the same id, and answers of both incarnations
 /// arrive out of order; the id alone doesn't tell them apart.
 #[test]
-fn lives_under_one_id_are_told_apart() {
-    for case in LIVES {
+fn incarnations_under_one_id_are_told_apart() {
+    for case in INCARNATIONS {
         let upstream = &upstreams(1)[0];
-        let seen: Vec<Life> = case.told.iter().map(|it| upstream.observe(it.map(Born))).collect();
+        let seen: Vec<Incarnation> =
+            case.messages.iter().map(|it| upstream.observe(it.map(StartTime))).collect();
         assert_eq!(seen.last(), Some(&case.last), "{}", case.name);
     }
 }
