--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,5 +1,6 @@
-//! The border to the platform: how heads, marks and stage calls are spoken. The product defines
-//! what it needs; an implementation translates and decides nothing.
+//! The interface to the platform's protocol: how the heads of requests and answers, the calls for
+//! stages and the plan are encoded. This crate defines what it needs; an implementation translates
+//! and decides nothing.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,24 +8,24 @@
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode};
 
-pub use crate::life::Born;
+pub use crate::incarnation::StartTime;
 use crate::plan::Plan;
 
-/// A part of a prompt that requests may share.
+/// A part of a prompt that several requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its id.
+    /// The id of the part; equal parts have equal ids.
     pub id: u64,
-    /// Its tokens.
+    /// The number of its tokens.
     pub tokens: u32,
 }
 
 /// What a request asks of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Generation {
-    /// The tokens of the prompt.
+    /// The number of tokens of the prompt.
     pub prompt: u32,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     pub output: u32,
     /// The parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
@@ -33,68 +34,68 @@
 /// What a request asks of its stages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Segments {
-    /// The number of pieces of each stage; a stage with none is left out.
+    /// The number of pieces of each stage; a stage without pieces is skipped.
     pub counts: Vec<u32>,
-    /// The key of its pieces.
+    /// The key of the pieces.
     pub key: String,
 }
 
-/// What the head of a request says.
+/// The decoded head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestHead {
     /// The caller's id of this attempt.
     pub attempt: String,
     /// How long the caller waits.
     pub deadline: Option<Duration>,
     /// The customer's key.
     pub key: Option<String>,
-    /// What it asks of an engine.
+    /// What the request asks of an engine.
     pub generation: Option<Generation>,
-    /// What it asks of its stages.
+    /// What the request asks of its stages.
     pub segments: Option<Segments>,
-    /// The last event of an interrupted stream that the caller has.
+    /// The number of the last event of an interrupted stream that the caller has received.
     pub last_event: Option<u64>,
 }
 
-/// What the entry says to an upstream.
+/// What the entry adds to the head of a request to an upstream.
 #[derive(Clone, Debug, Default)]
-pub struct Marks<'a> {
-    /// The life of the upstream that must take it.
+pub struct ForwardHead<'a> {
+    /// The incarnation of the upstream that must run the request.
     pub upstream: &'a str,
-    /// The time that is left.
+    /// The time left until the deadline.
     pub left: Duration,
     /// The customer.
     pub customer: Option<&'a str>,
-    /// The results that it needs.
+    /// The stage results that the request needs.
     pub inputs: &'a [Handle],
     /// The rank at an engine; 0 goes first.
     pub priority: Option<u8>,
-    /// The last event that the caller has.
+    /// The number of the last event that the caller has received.
     pub last_event: Option<u64>,
 }
 
-/// What the head of an upstream's answer says.
+/// The decoded head of an upstream's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AnswerMarks {
+pub struct AnswerHead {
     /// Whether it repeats the attempt's id.
     pub same_attempt: bool,
     /// Whether it bears the upstream's seal.
     pub sealed: bool,
-    /// Whether it states that the request has not run.
+    /// Whether it states that the request did not run.
     pub not_run: bool,
-    /// How long the upstream keeps the connection idle, where it says so.
+    /// How long the upstream keeps the connection idle, if it says so.
     pub keep_alive: Option<Duration>,
 }
 
-/// The name of a result, which tells where it is kept.
+/// The name of a stage result, which includes the address at which it is kept.
 pub type Handle = Arc<str>;
 
-/// What a piece works on.
+/// The input of a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PieceInput {
     /// The key of the request, for a stage that needs no results.
     Key(Arc<str>),
-    /// The results of the stages before.
+    /// The results of the previous stages.
     Results(Arc<Vec<Handle>>),
 }
 
@@ -107,20 +108,20 @@
     pub stage: u32,
     /// The number of the piece.
     pub segment: u32,
-    /// The time that is left.
+    /// The time left until the deadline.
     pub left: Duration,
-    /// What it works on.
+    /// The input of the piece.
     pub input: PieceInput,
 }
 
 /// Why a piece has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum PieceFailure {
-    /// Its time had passed at its turn.
+    /// Its deadline had passed when its turn came.
     Late,
     /// An input is gone.
     InputGone,
-    /// The upstream has no room for results.
+    /// The upstream has no memory left for results.
     NoRoom,
     /// The upstream failed.
     Failed,
@@ -132,68 +133,69 @@
 /// The answer to a call with pieces.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PieceAnswer {
-    /// When its sender started, where it tells.
-    pub born: Option<Born>,
+    /// When the sender started, if it says so.
+    pub start_time: Option<StartTime>,
     /// The results, in the order of the call.
     pub results: Vec<PieceResult>,
 }
 
-/// What an upstream of stages says of its room.
+/// An upstream's report of its free memory for stage results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoomReport {
-    /// When its sender started, where it tells.
-    pub born: Option<Born>,
-    /// The bytes that are free for results, some hundred ms ago.
+    /// When the sender started, if it says so.
+    pub start_time: Option<StartTime>,
+    /// The bytes that were free for results some hundred milliseconds ago.
     pub free: Option<u64>,
 }
 
-/// How the platform speaks.
+/// The encoding and decoding of the platform's protocol.
 pub trait Dialect: Send + Sync + 'static {
-    /// The path at which the balancer asks whether the entry is ready.
+    /// The path at which the balancer checks whether the entry is ready.
     const READY_PATH: &'static str;
     /// The path of a call with pieces.
     const PIECES_PATH: &'static str;
     /// The path at which an upstream reports its state.
     const REPORT_PATH: &'static str;
-    /// The path of a call that gives results up.
+    /// The path of a call that frees results.
     const FREE_PATH: &'static str;
 
     /// Decodes a plan.
     ///
     /// # Errors
-    /// With what is wrong with it.
-    fn plan(text: &[u8]) -> Result<Plan, String>;
+    /// Returns a description of what is invalid in the plan.
+    fn decode_plan(text: &[u8]) -> Result<Plan, String>;
 
     /// Decodes the head of a request.
     ///
     /// # Errors
-    /// With what is wrong with it.
-    fn ask(headers: &HeaderMap) -> Result<Ask, String>;
+    /// Returns a description of what is invalid in the head.
+    fn decode_request(headers: &HeaderMap) -> Result<RequestHead, String>;
 
-    /// Removes what a caller may not set, and the caller's key.
-    fn strip(headers: &mut HeaderMap);
+    /// Removes the headers that a caller may not set, and the caller's key.
+    fn strip_headers(headers: &mut HeaderMap);
 
-    /// Adds the entry's marks.
-    fn mark(headers: &mut HeaderMap, marks: &Marks<'_>);
+    /// Adds the entry's headers.
+    fn add_headers(headers: &mut HeaderMap, head: &ForwardHead<'_>);
 
     /// Decodes the head of an upstream's answer to `attempt`.
-    fn answer(status: StatusCode, headers: &HeaderMap, attempt: &str) -> AnswerMarks;
+    fn decode_answer(status: StatusCode, headers: &HeaderMap, attempt: &str) -> AnswerHead;
 
     /// Encodes a call with pieces.
-    fn pieces(calls: &[PieceCall]) -> Bytes;
+    fn encode_pieces(calls: &[PieceCall]) -> Bytes;
 
     /// Decodes the answer to a call with pieces.
     ///
     /// # Errors
-    /// With what is wrong with it.
-    fn results(body: &[u8]) -> Result<PieceAnswer, String>;
+    /// Returns a description of what is invalid in the answer.
+    fn decode_results(body: &[u8]) -> Result<PieceAnswer, String>;
 
-    /// Decodes an upstream's report of its room. What can't be read tells nothing.
-    fn room(body: &[u8]) -> RoomReport;
+    /// Decodes an upstream's report of its free memory. Fields that can't be decoded are left
+    /// empty.
+    fn decode_room(body: &[u8]) -> RoomReport;
 
-    /// Encodes a call that gives results up.
-    fn free(handles: &[Handle]) -> Bytes;
+    /// Encodes a call that frees results.
+    fn encode_free(handles: &[Handle]) -> Bytes;
 
-    /// Gives the address at which a result is kept.
-    fn keeper(handle: &str) -> Option<std::net::SocketAddr>;
+    /// Returns the address at which a result is kept, or `None` for an invalid handle.
+    fn holder(handle: &str) -> Option<std::net::SocketAddr>;
 }
--- a/crates/gateway/src/shared/tests.rs
+++ b/crates/gateway/src/shared/tests.rs
@@ -8,63 +8,65 @@
 
 use super::*;
 use crate::budget::BudgetSpec;
-use crate::dialect::{AnswerMarks, Ask, Handle, Marks, PieceAnswer, PieceCall, RoomReport};
+use crate::dialect::{
+    AnswerHead, ForwardHead, Handle, PieceAnswer, PieceCall, RequestHead, RoomReport,
+};
 
-/// A platform whose every plan is empty, and that says nothing else.
-struct Mute;
+/// A dialect in which every plan is empty, and every other message too.
+struct EmptyDialect;
 
-impl Dialect for Mute {
+impl Dialect for EmptyDialect {
     const READY_PATH: &'static str = "";
     const PIECES_PATH: &'static str = "";
     const REPORT_PATH: &'static str = "";
     const FREE_PATH: &'static str = "";
 
-    fn plan(_: &[u8]) -> Result<Plan, String> {
+    fn decode_plan(_: &[u8]) -> Result<Plan, String> {
         Ok(Plan::default())
     }
 
-    fn ask(_: &HeaderMap) -> Result<Ask, String> {
+    fn decode_request(_: &HeaderMap) -> Result<RequestHead, String> {
         Err(String::new())
     }
 
-    fn strip(_: &mut HeaderMap) {}
+    fn strip_headers(_: &mut HeaderMap) {}
 
-    fn mark(_: &mut HeaderMap, _: &Marks<'_>) {}
+    fn add_headers(_: &mut HeaderMap, _: &ForwardHead<'_>) {}
 
-    fn answer(_: StatusCode, _: &HeaderMap, _: &str) -> AnswerMarks {
-        AnswerMarks::default()
+    fn decode_answer(_: StatusCode, _: &HeaderMap, _: &str) -> AnswerHead {
+        AnswerHead::default()
     }
 
-    fn pieces(_: &[PieceCall]) -> Bytes {
+    fn encode_pieces(_: &[PieceCall]) -> Bytes {
         Bytes::new()
     }
 
-    fn results(_: &[u8]) -> Result<PieceAnswer, String> {
+    fn decode_results(_: &[u8]) -> Result<PieceAnswer, String> {
         Err(String::new())
     }
 
-    fn room(_: &[u8]) -> RoomReport {
+    fn decode_room(_: &[u8]) -> RoomReport {
         RoomReport::default()
     }
 
-    fn free(_: &[Handle]) -> Bytes {
+    fn encode_free(_: &[Handle]) -> Bytes {
         Bytes::new()
     }
 
-    fn keeper(_: &str) -> Option<SocketAddr> {
+    fn holder(_: &str) -> Option<SocketAddr> {
         None
     }
 }
 
-fn shared() -> Shared<Mute> {
+fn shared() -> Shared<EmptyDialect> {
     let own = SocketAddr::from(([127, 0, 0, 1], 1));
     let (_, known) = watch::channel(Arc::new(Known::default()));
     let (evidence, _) = mpsc::channel(1);
     let spec = BudgetSpec { ratio: 0.2, window: Duration::from_secs(10), burst: 1.0 };
     let budget = Budget::new(spec, Instant::now());
     let metrics = Metrics::open(&telemetry::open_registry()).expect("metrics");
-    let suspects = Suspects::new(known, evidence, own);
-    Shared::new(own, "d".into(), LinkRate::from_megabits(10.0), (budget, metrics), suspects)
+    let quarantine = Quarantine::new(known, evidence, own);
+    Shared::new(own, "d".into(), LinkRate::from_megabits(10.0), (budget, metrics), quarantine)
 }
 
 struct Case {
@@ -82,11 +84,12 @@
     NOTHING,
     Case { name: "no plan", upstreams: true, entries: true, ..NOTHING },
     Case { name: "no upstreams", plan: true, entries: true, ..NOTHING },
-    Case { name: "not the other entries", plan: true, upstreams: true, ..NOTHING },
+    Case { name: "no list of entries", plan: true, upstreams: true, ..NOTHING },
     Case { name: "all", plan: true, upstreams: true, entries: true, ready: true },
 ];
 
-/// An entry that has not heard of the others makes all stage work itself, and fills the upstreams' queues.
+/// Guards against an entry that serves before it knows the other entries: it would run all stages
+/// by itself and overfill the upstreams' queues.
 #[test]
 fn an_entry_is_ready_once_it_knows_all_that_it_needs() {
     for case in CASES {
@@ -111,7 +114,7 @@
             news.seated = stamp;
         }
         let shared = shared();
-        shared.take(&news);
+        shared.apply_news(&news);
         assert_eq!(shared.is_ready(), case.ready, "{}", case.name);
     }
 }
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -1,19 +1,19 @@
-//! Which requests are taken, by what their stages are likely to take.
+//! Which requests are admitted, by the expected time of their stages.
 
 use std::time::Duration;
 
-use gateway::admission::{Forecast, Terms, Verdict, admit};
+use gateway::admission::{Forecast, Requirements, Verdict, admit};
 
 struct Case {
     name: &'static str,
-    /// Plain, timely and late, in ms.
+    /// The forecast without a wait, behind timely pieces and behind all pieces, in ms.
     forecast: [u64; 3],
     priority: u8,
     verdict: Verdict,
 }
 
 const CASES: &[Case] = &[
-    Case { name: "nothing waits", forecast: [900; 3], priority: 0, verdict: Verdict::Timely },
+    Case { name: "nothing is queued", forecast: [900; 3], priority: 0, verdict: Verdict::Timely },
     Case {
         name: "a long chain that hardly waits",
         forecast: [2_500, 2_600, 2_600],
@@ -27,13 +27,13 @@
         verdict: Verdict::Timely,
     },
     Case {
-        name: "late ones wait, which go after it",
+        name: "only late pieces are queued, which go after it",
         forecast: [900, 1_200, 9_000],
         priority: 2,
         verdict: Verdict::Timely,
     },
     Case {
-        name: "late ones wait, and nothing may come in between",
+        name: "late pieces are queued, and it would only just be in time",
         forecast: [900, 1_900, 9_000],
         priority: 2,
         verdict: Verdict::Refused(Duration::from_millis(8_100)),
@@ -64,21 +64,21 @@
     },
 ];
 
-/// Symptom: for seconds after a burst the least urgent requests are refused, though upstreams could have
-/// answered them in time.
-/// Sequence: late pieces of the burst wait; new requests come at the usual rate.
-/// Cause: the late pieces count as ahead of the new ones, which go before them.
+/// Guards against refusing the least urgent requests for seconds after a burst, although upstreams
+/// could answer them in time. Late pieces of the burst are queued while new requests come at the
+/// usual rate. This happens if the late pieces count as ahead of the new ones, which are served
+/// first.
 #[test]
-fn requests_are_taken_by_when_they_would_be_done() {
+fn requests_are_admitted_by_their_expected_time() {
     for case in CASES {
-        let [plain, timely, late] = case.forecast.map(Duration::from_millis);
-        let terms = Terms {
+        let [unqueued, behind_timely, behind_all] = case.forecast.map(Duration::from_millis);
+        let requirements = Requirements {
             age: Duration::ZERO,
             target: Duration::from_millis(2_000),
             patience: Duration::from_millis(10_000),
             priority: case.priority,
         };
-        let verdict = admit(&Forecast { plain, timely, late }, &terms);
+        let verdict = admit(&Forecast { unqueued, behind_timely, behind_all }, &requirements);
         assert_eq!(verdict, case.verdict, "{}", case.name);
     }
 }
