--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! The bodies of answers.
+//! The response bodies.
 
 use std::time::Duration;
 
@@ -8,41 +8,42 @@
 
 use crate::outcome::{Ending, Problem};
 
-/// The time after which a caller may come back when nothing better is known, in milliseconds.
-const RETRY_AFTER: std::ops::Range<u64> = 800..1_600;
+/// The range of the default retry delay, in milliseconds, for refusals that have no better
+/// estimate.
+const RETRY_AFTER_MS: std::ops::Range<u64> = 800..1_600;
 
-/// Draws the time after which a caller may come back, spread so that those refused together do not
-/// come back together.
+/// Returns a random retry delay, so that callers that were refused together do not come back
+/// together.
 pub(crate) fn retry_after() -> Duration {
-    Duration::from_millis(rand::random_range(RETRY_AFTER))
+    Duration::from_millis(rand::random_range(RETRY_AFTER_MS))
 }
 
-/// What one stage took and cost.
+/// The time and cost of one stage.
 #[derive(Clone, Debug, Serialize)]
-pub struct StageLine {
+pub struct StageSummary {
     /// The stage.
     pub stage: StageName,
     /// The upstream whose result was used.
     pub upstream: UpstreamName,
-    /// The calls that were started for it.
+    /// The number of calls that were started for it.
     pub attempts: u32,
-    /// The time it took, its queue included, in milliseconds.
+    /// The time it took including its queue, in milliseconds.
     pub ms: f64,
-    /// The busy time of the upstream.
+    /// The busy time of the upstream, in microseconds.
     pub busy_us: Micros,
-    /// The tokens generated.
+    /// The number of tokens generated.
     pub tokens: Tokens,
-    /// What it cost.
+    /// The cost.
     pub cost: Cost,
 }
 
-/// A whole answer, without what belongs to one caller.
+/// A complete answer, without the parts that differ for each caller.
 #[derive(Debug)]
-pub struct Whole {
-    /// The last stage's output.
+pub struct CompleteAnswer {
+    /// The output of the last stage.
     pub output: Box<RawValue>,
-    /// The stages in their order.
-    pub stages: Vec<StageLine>,
+    /// The stages in order.
+    pub stages: Vec<StageSummary>,
 }
 
 #[derive(Serialize)]
@@ -52,7 +53,7 @@
     output: &'a RawValue,
     ms: f64,
     cost: Cost,
-    stages: &'a [StageLine],
+    stages: &'a [StageSummary],
 }
 
 #[derive(Serialize)]
@@ -69,13 +70,13 @@
     retry_after_ms: Option<u64>,
 }
 
-/// Returns a duration in milliseconds, to the microsecond.
+/// Returns a duration in milliseconds, with the precision of a microsecond.
 pub(crate) fn millis(time: Duration) -> f64 {
     time.as_micros() as f64 / 1e3
 }
 
-impl Whole {
-    /// Writes the body for one caller.
+impl CompleteAnswer {
+    /// Returns the body for one caller.
     pub fn body(&self, request: RequestId, took: Duration) -> Vec<u8> {
         let cost = Cost(self.stages.iter().map(|it| it.cost.0).sum());
         let (output, stages, ms) = (&*self.output, &*self.stages, millis(took));
@@ -86,19 +87,19 @@
 }
 
 impl Problem {
-    /// Writes the body for one caller (RFC 9457).
+    /// Returns the body for one caller, a problem document (RFC 9457).
     pub fn body(&self, request: RequestId) -> Vec<u8> {
-        let halt = self.halt();
-        let reason = halt.reason.as_str();
+        let error = self.error();
+        let reason = error.reason.as_str();
         let body = ProblemBody {
             kind: format!("urn:mothplank:{reason}"),
             title: title(self.outcome()),
             status: self.status(),
-            detail: &halt.detail,
+            detail: &error.detail,
             request,
             outcome: self.outcome(),
             reason,
-            retry_after_ms: halt.retry_after.map(|it| it.as_millis() as u64),
+            retry_after_ms: error.retry_after.map(|it| it.as_millis() as u64),
         };
         serde_json::to_vec(&body).unwrap_or_default()
     }
@@ -121,18 +122,18 @@
         }
     }
 
-    /// Returns the word for why, `ok` for a complete answer.
+    /// Returns the reason as written in answers, logs and metrics; `ok` for a complete answer.
     pub fn reason(&self) -> &'static str {
         match self {
             Ending::Complete(_) => "ok",
-            Ending::Problem(problem) => problem.halt().reason.as_str(),
+            Ending::Problem(problem) => problem.error().reason.as_str(),
         }
     }
 
-    /// Writes the body for one caller.
+    /// Returns the body for one caller.
     pub fn body(&self, request: RequestId, took: Duration) -> Vec<u8> {
         match self {
-            Ending::Complete(whole) => whole.body(request, took),
+            Ending::Complete(complete) => complete.body(request, took),
             Ending::Problem(problem) => problem.body(request),
         }
     }
--- a/crates/entry/src/flight.rs
+++ b/crates/entry/src/call.rs
@@ -1,4 +1,4 @@
-//! A call under way.
+//! A call to an upstream that is in flight.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,53 +8,53 @@
 
 use crate::outcome::Progress;
 use crate::session::Session;
-use crate::step::{Step, Tries, Used};
+use crate::step::{Attempts, Step, Used};
 
-/// A call under way, from before its first byte can leave.
+/// A call to an upstream, from before its first byte can leave.
 ///
-/// What goes wrong without it: a run is dropped wherever it stands when its caller leaves or a hedge
-/// is lost, and the call it had open is neither told to the router nor counted as waste. So a flight
-/// that is dropped before its end was noted counts as abandoned.
-pub(crate) struct Flight<'a, S: Session> {
+/// A run is dropped at any point when its caller leaves or when a hedged call loses. A call that is
+/// dropped before its end was recorded is reported to the router as abandoned and its time is
+/// counted as wasted; otherwise neither would learn of it.
+pub(crate) struct InFlightCall<'a, S: Session> {
     step: &'a Step<'a, S>,
     pick: Pick,
     began: Instant,
     open: bool,
 }
 
-impl<'a, S: Session> Flight<'a, S> {
-    /// Notes that a call to the picked upstream starts now.
+impl<'a, S: Session> InFlightCall<'a, S> {
+    /// Records that a call to the picked upstream starts now.
     pub(crate) fn begin(
         step: &'a Step<'a, S>,
         pick: Pick,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         progress: &mut Progress,
     ) -> Self {
-        tries.calls += 1;
-        progress.sending(step.stage.repeatable);
+        attempts.calls += 1;
+        progress.call_started(step.stage.repeatable);
         Self { step, pick, began: Instant::now(), open: true }
     }
 
-    /// Notes that the same upstream is called again.
-    pub(crate) fn again(mut self, tries: &mut Tries, progress: &mut Progress) -> Self {
-        tries.calls += 1;
-        progress.sending(self.step.stage.repeatable);
+    /// Records that the same upstream is called again.
+    pub(crate) fn retried(mut self, attempts: &mut Attempts, progress: &mut Progress) -> Self {
+        attempts.calls += 1;
+        progress.call_started(self.step.stage.repeatable);
         (self.began, self.open) = (Instant::now(), true);
         self
     }
 
-    /// Returns the upstream that is called.
+    /// Returns the upstream of the call.
     pub(crate) fn upstream(&self) -> &Arc<UpstreamView> {
         &self.pick.upstream
     }
 
-    /// Returns how long the first byte may take.
+    /// Returns the timeout of the first byte.
     pub(crate) fn first_byte(&self) -> Duration {
         self.pick.first_byte
     }
 
-    /// Returns after how long a second call is worth it. Never for a stage that is not repeatable:
-    /// two calls of it would both run.
+    /// Returns the time after which a second call is worthwhile. `None` for a stage that is not
+    /// repeatable: both calls would run.
     pub(crate) fn hedge_after(&self) -> Option<Duration> {
         self.pick.hedge_after.filter(|_| self.step.stage.repeatable)
     }
@@ -64,13 +64,14 @@
         self.began.elapsed()
     }
 
-    /// Notes that the call gave its result.
+    /// Records that the call succeeded.
     pub(crate) fn succeeded(&mut self, first_byte: Duration, used: Used) {
         self.open = false;
         self.step.succeeded(&self.pick, first_byte, used);
     }
 
-    /// Notes that the call failed, and takes its evidence. What it delivered before counts as used.
+    /// Records that the call failed, together with its evidence of whether it was sent, and returns
+    /// the fault. The time of a call that `delivered` tokens is not counted as wasted.
     pub(crate) fn failed(
         &mut self,
         error: CallError,
@@ -83,7 +84,7 @@
     }
 }
 
-impl<S: Session> Drop for Flight<'_, S> {
+impl<S: Session> Drop for InFlightCall<'_, S> {
     fn drop(&mut self) {
         if self.open {
             self.step.abandoned(&self.pick, self.elapsed());
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -1,9 +1,10 @@
-//! Requests that run at most once.
+//! Runs requests that may run at most once.
 //!
-//! The claim is committed at the request's start, before any stage: a resend then finds it under
-//! way instead of working through the stages before the non-repeatable one again. All of it runs
-//! in a task of its own, since a caller that leaves must not take a granted claim with it. The task
-//! says its end only once that end is committed, so every resend, to any entry, gets the same.
+//! The claim is committed when the request starts, before any stage: a resend then finds the
+//! request in flight instead of running the stages before the non-repeatable one again. Each
+//! request runs in its own task, because a caller that leaves must not abandon a granted claim. The
+//! task reports its end only once that end is committed, so every resend, to any entry, gets the
+//! same answer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,38 +16,38 @@
 
 use crate::answer::retry_after;
 use crate::core::Core;
-use crate::outcome::{Asked, Ending, Granted, Halt, Problem, Progress, Reason};
+use crate::outcome::{ClaimRequested, Ending, Granted, Problem, Progress, Reason, RequestError};
 use crate::reply::Reply;
 use crate::request::Request;
 use crate::run;
 use crate::session::Session;
 use crate::sink::{DetachedSink, Item};
 
-/// How long one try to commit a claim may take. A try that is given up leaves its command in the log, so
-/// it is far longer than slow disks need.
-const CLAIM: Duration = Duration::from_secs(6);
+/// The timeout of one attempt to commit a claim. An attempt that times out leaves its command in
+/// the log, so the timeout is far longer than slow disks need.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How long after the first rejected claim others wait for a new leader.
-const FAILOVER: Duration = Duration::from_millis(1_500);
+/// How long after the first rejected claim other requests wait for a new leader.
+const FAILOVER_WAIT: Duration = Duration::from_millis(1_500);
 
-/// How long one try to commit a claim's end may take.
-const COMMIT: Duration = Duration::from_secs(6);
+/// The timeout of one attempt to commit the end of a claim.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The pause between such tries.
-const PAUSE: Duration = Duration::from_millis(200);
+/// The pause between two attempts to commit.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// How long a draining entry goes on trying.
-const DRAIN: Duration = Duration::from_secs(10);
+/// How long a draining entry keeps retrying to commit.
+const DRAIN_RETRY_LIMIT: Duration = Duration::from_secs(10);
 
-/// One claim and its proof.
+/// One claim and the ticket that proves its ownership.
 struct Claim<'a, S> {
     core: &'a Core<S>,
     key: ClaimKey,
     ticket: ClaimTicket,
 }
 
-/// Runs a request under its key and returns its end, which is committed.
-pub(crate) async fn live<S: Session>(
+/// Runs a request under its key and returns its reply once its end is committed.
+pub(crate) async fn execute<S: Session>(
     core: Arc<Core<S>>,
     mut request: Request,
     key: ClaimKey,
@@ -54,41 +55,41 @@
 ) -> Reply {
     request.claimed = Some(Instant::now());
     let claim = Claim { core: &core, key, ticket: core.ticket() };
-    let asked = Asked::now();
+    let asked = ClaimRequested::now();
     let answer = match claim.ask(&request).await {
         Ok(Claimed { answer, doubt }) => {
             if doubt && !answer.is_settled() {
-                claim.keep_out().await;
+                claim.revoke().await;
             }
             answer
         }
-        Err(ClaimError::Rejected(why)) => return claim.unasked(&request, &why),
+        Err(ClaimError::Rejected(why)) => return claim.no_quorum(&request, &why),
         Err(error) => {
-            claim.keep_out().await;
-            return claim.unasked(&request, &error.to_string());
+            claim.revoke().await;
+            return claim.no_quorum(&request, &error.to_string());
         }
     };
     match answer {
         ClaimAnswer::Done(answer) => Reply::restored(answer, request.id),
         ClaimAnswer::Granted => match asked.granted(&answer) {
-            Some(granted) => claim.run(&request, granted, events).await,
-            None => claim.unasked(&request, "no grant"),
+            Some(granted) => claim.run_pipeline(&request, granted, events).await,
+            None => claim.no_quorum(&request, "no grant"),
         },
         _ => {
-            let problem = refused(asked, &answer);
+            let problem = denial(asked, &answer);
             Reply::new(&Ending::Problem(problem), request.id, request.arrived.elapsed())
         }
     }
 }
 
-/// Says what an answer means that is neither a grant nor the end of the request.
-fn refused(asked: Asked, answer: &ClaimAnswer) -> Problem {
+/// Returns the problem for an answer that is neither a grant nor a stored result.
+fn denial(asked: ClaimRequested, answer: &ClaimAnswer) -> Problem {
     let (reason, detail) = match answer {
         ClaimAnswer::OwnerLost => {
             let detail = "the entry that ran this request is lost. Whether the call that may not \
                           be repeated ran is not known, and it never runs again under this key: \
                           ask the service it was meant for, and send a new key if it did not run";
-            return Problem::unknown(Halt::new(Reason::OwnerLost, detail));
+            return Problem::unknown(RequestError::new(Reason::OwnerLost, detail));
         }
         ClaimAnswer::Mismatch => {
             (Reason::KeyMismatch, "this Idempotency-Key was used with another body; send a new key")
@@ -105,15 +106,17 @@
         }
         ClaimAnswer::Running | ClaimAnswer::Granted | ClaimAnswer::Done(_) => {
             let detail = "another attempt under this key is under way; send it again later";
-            return Problem::under_way(Halt::new(Reason::Running, detail).after(retry_after()));
+            return Problem::in_flight(
+                RequestError::new(Reason::Running, detail).retry_after(retry_after()),
+            );
         }
     };
-    let halt = Halt::new(reason, detail);
-    let halt = if reason == Reason::KeysFull { halt.after(retry_after()) } else { halt };
-    Problem::of(&Progress::at_arrival(), asked.denied(answer), halt)
+    let error = RequestError::new(reason, detail);
+    let error = if reason == Reason::KeysFull { error.retry_after(retry_after()) } else { error };
+    Problem::from_progress(&Progress::at_arrival(), asked.denied(answer), error)
 }
 
-fn word(claimed: &Result<Claimed, ClaimError>) -> &'static str {
+fn answer_label(claimed: &Result<Claimed, ClaimError>) -> &'static str {
     match claimed.as_ref().map(|it| &it.answer) {
         Ok(ClaimAnswer::Granted) => "granted",
         Ok(ClaimAnswer::Running) => "running",
@@ -129,27 +132,29 @@
 }
 
 impl<S: Session> Claim<'_, S> {
-    /// Asks for the claim. Where the answer is lost it asks again with the same ticket, by which
-    /// the state knows the repeated command from a second request.
+    /// Asks for the claim. If the answer is lost, it asks again with the same ticket, by which the
+    /// replicated state tells the repeated command from a second request.
     ///
-    /// A rejected claim is asked for again too while the quorum was lost a moment ago: a leader that
-    /// falls is replaced well within a request's deadline. Once that has not come about, requests
-    /// are refused at once.
+    /// A rejected claim is also asked for again while the quorum has been lost only briefly: a
+    /// failed leader is replaced well within a request's deadline. Once that time has passed
+    /// without a new leader, requests are refused at once.
     async fn ask(&self, request: &Request) -> Result<Claimed, ClaimError> {
         let mut lost = None;
-        let has_time = || Instant::now() + PAUSE < request.by();
+        let has_time = || Instant::now() + RETRY_PAUSE < request.deadline();
         loop {
-            let by = request.by().min(Instant::now() + CLAIM);
-            match self.claim(request, by).await {
+            let deadline = request.deadline().min(Instant::now() + CLAIM_TIMEOUT);
+            match self.claim(request, deadline).await {
                 Ok(Claimed { answer, doubt }) => {
-                    self.core.quorum.found();
+                    self.core.quorum_loss.clear();
                     return Ok(Claimed { answer, doubt: doubt || lost.is_some() });
                 }
                 Err(ClaimError::Uncertain(why)) => lost = Some(why),
                 Err(ended @ ClaimError::Ended(_)) => lost = Some(ended.to_string()),
                 Err(ClaimError::Rejected(why)) => {
-                    let short = self.core.quorum.lost() < FAILOVER && has_time();
-                    // Certain of this try only: one before may yet come to stand.
+                    let short =
+                        self.core.quorum_loss.record_rejection() < FAILOVER_WAIT && has_time();
+                    // The rejection concerns this attempt only; the command of an earlier one may
+                    // still be committed.
                     if lost.is_none() && !short {
                         return Err(ClaimError::Rejected(why));
                     }
@@ -158,42 +163,44 @@
             if !has_time() {
                 return Err(ClaimError::Uncertain(lost.unwrap_or_default()));
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
-    async fn claim(&self, request: &Request, by: Instant) -> Result<Claimed, ClaimError> {
+    async fn claim(&self, request: &Request, deadline: Instant) -> Result<Claimed, ClaimError> {
         let (key, ticket) = (self.key.clone(), self.ticket.clone());
         let ask = ClaimRequest { key, fingerprint: request.fingerprint, ticket };
         let began = Instant::now();
-        let answer = self.core.session.claim(ask, by).await;
-        self.core.metrics.commit("claim", began.elapsed());
-        self.core.metrics.claim(word(&answer));
+        let answer = self.core.session.claim(ask, deadline).await;
+        self.core.metrics.claim_step("claim", began.elapsed());
+        self.core.metrics.claim_answer(answer_label(&answer));
         answer
     }
 
-    /// Has the state refuse what is left of this attempt's claim.
+    /// Releases the claim, so that the replicated state refuses any command of this attempt that is
+    /// still in transit.
     ///
-    /// What goes wrong otherwise: a sending of the claim that was never answered is held back by a
-    /// link or a member; the attempt ends without a grant; the key is free again by the time the
-    /// sending arrives, and it is granted to an attempt that is gone. Every resend is then told that
-    /// the request is under way, until this process ends.
-    async fn keep_out(&self) {
+    /// Otherwise a claim command that was never answered can be delayed by a link or a member while
+    /// the attempt ends without a grant. Once the key is free again, the late command is granted to
+    /// an attempt that no longer exists, and every resend is told that the request is in flight
+    /// until this process ends.
+    async fn revoke(&self) {
         if let Err(error) = self.release().await {
             let key = &self.key.key;
-            log::info!(key:% = key, peer = "control"; "no release of what was not granted: {error}");
+            log::info!(key:% = key, peer = "control";
+                "could not release a claim that was not granted: {error}");
         }
     }
 
-    /// Says that the state could not be asked.
-    fn unasked(&self, request: &Request, why: &str) -> Reply {
+    /// Returns the refusal for a claim that could not be asked for.
+    fn no_quorum(&self, request: &Request, why: &str) -> Reply {
         let reason = Reason::Refused(RefusalReason::NoQuorum);
-        let halt = Halt::new(reason, format!("the request could not be claimed: {why}"));
-        Reply::refuse(halt.after(retry_after()), true, request.id)
+        let error = RequestError::new(reason, format!("the request could not be claimed: {why}"));
+        Reply::refuse(error.retry_after(retry_after()), true, request.id)
     }
 
-    /// Runs the pipeline inside the granted claim.
-    async fn run(
+    /// Runs the pipeline under the granted claim.
+    async fn run_pipeline(
         &self,
         request: &Request,
         granted: Granted,
@@ -203,96 +210,99 @@
         let mut sink = DetachedSink::new(events);
         let result = run::run(self.core, request, &mut progress, &mut sink).await;
         let ending = match result {
-            Ok(whole) => Ending::Complete(Arc::new(whole)),
-            Err(halt) if !progress.is_once_sent() => {
-                return self.give_up(request, granted, &progress, halt).await;
+            Ok(complete) => Ending::Complete(Arc::new(complete)),
+            Err(error) if !progress.may_have_run_once() => {
+                return self.give_up(request, granted, &progress, error).await;
             }
-            Err(halt) if halt.reason == Reason::CallLost => Ending::Problem(lost(halt)),
-            Err(halt) => Ending::Problem(Problem::failed(halt)),
+            Err(error) if error.reason == Reason::CallLost => Ending::Problem(call_lost(error)),
+            Err(error) => Ending::Problem(Problem::failed(error)),
         };
         let reply = Reply::new(&ending, request.id, request.arrived.elapsed());
         match self.finish(request, &reply).await {
             Ok(()) => reply,
-            // Not said: were this entry lost before the commit, resends would be told otherwise.
+            // The outcome is withheld: if this entry were lost before the commit, resends would get
+            // another one.
             Err(_) => {
                 let detail = "the request has ended and its answer is not stored yet";
-                let halt = Halt::new(Reason::Storing, detail).after(retry_after());
-                let ending = Ending::Problem(Problem::under_way(halt));
+                let error = RequestError::new(Reason::Storing, detail).retry_after(retry_after());
+                let ending = Ending::Problem(Problem::in_flight(error));
                 Reply::new(&ending, request.id, request.arrived.elapsed())
             }
         }
     }
 
-    /// Stores the answer; returns once it is committed.
+    /// Stores the answer and returns once it is committed.
     ///
     /// # Errors
-    /// Where a drain left no time for it.
+    /// Returns an error if a drain leaves no time for it.
     async fn finish(&self, request: &Request, reply: &Reply) -> Result<(), ClaimError> {
         let limit = request.view.service().claims.answer.0;
         let answer = reply.stored(limit);
         loop {
             let stored = self
-                .until_committed("finish", || {
-                    let (key, ticket, by) = self.parts();
-                    self.core.session.finish(key, ticket, answer.clone(), by)
+                .retry_until_committed("finish", || {
+                    let (key, ticket, deadline) = self.commit_args();
+                    self.core.session.finish(key, ticket, answer.clone(), deadline)
                 })
                 .await;
             if stored.is_ok() || self.is_drained() {
                 return stored;
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
     /// Ends a request whose non-repeatable call was never sent, or did not run.
     ///
-    /// What goes wrong without the release: the claim stays with this entry, and the caller that
-    /// was told "not run" finds it under way at every resend, until this process dies and it turns
-    /// into "unknown". So nothing is said before the release is committed.
+    /// Nothing is reported before the release is committed. Otherwise the claim would stay with
+    /// this entry: the caller that was told "not run" would find its request in flight at every
+    /// resend, until this process ends and the outcome turns into "unknown".
     async fn give_up(
         &self,
         request: &Request,
         granted: Granted,
         progress: &Progress,
-        halt: Halt,
+        error: RequestError,
     ) -> Reply {
         let released = self.release().await;
         let problem = match granted.released(&released) {
-            Some(unclaimed) => Problem::of(progress, Some(unclaimed), again(halt)),
-            None => Problem::under_way(doubtful(&halt)),
+            Some(unclaimed) => {
+                Problem::from_progress(progress, Some(unclaimed), with_resend_hint(error))
+            }
+            None => Problem::in_flight(release_uncertain(&error)),
         };
         Reply::new(&Ending::Problem(problem), request.id, request.arrived.elapsed())
     }
 
-    /// Gives the claim up; returns once that is committed.
+    /// Releases the claim and returns once the release is committed.
     ///
-    /// A rejected release had no effect, so it is tried again, whoever holds the key meanwhile: only
-    /// a committed one keeps out a sending of the claim that is still on its way.
+    /// A rejected release had no effect, so it is retried even if another attempt holds the key
+    /// meanwhile: only a committed release keeps out a claim command that is still in transit.
     ///
     /// # Errors
-    /// Where the key has ended, or a drain left no time.
+    /// Returns an error if the key has ended, or if a drain leaves no time.
     async fn release(&self) -> Result<(), ClaimError> {
         loop {
             let released = self
-                .until_committed("release", || {
-                    let (key, ticket, by) = self.parts();
-                    self.core.session.release(key, ticket, by)
+                .retry_until_committed("release", || {
+                    let (key, ticket, deadline) = self.commit_args();
+                    self.core.session.release(key, ticket, deadline)
                 })
                 .await;
             match released {
-                Err(ClaimError::Rejected(_)) if !self.is_drained() => sleep(PAUSE).await,
+                Err(ClaimError::Rejected(_)) if !self.is_drained() => sleep(RETRY_PAUSE).await,
                 released => return released,
             }
         }
     }
 
-    fn parts(&self) -> (ClaimKey, ClaimTicket, Instant) {
-        (self.key.clone(), self.ticket.clone(), Instant::now() + COMMIT)
+    fn commit_args(&self) -> (ClaimKey, ClaimTicket, Instant) {
+        (self.key.clone(), self.ticket.clone(), Instant::now() + COMMIT_TIMEOUT)
     }
 
-    /// Tries until the claim's end is committed, rejected or too late, or a drain leaves no more
+    /// Retries until the claim's end is committed, rejected or too late, or until a drain leaves no
     /// time.
-    async fn until_committed<F, C>(&self, step: &str, commit: C) -> Result<(), ClaimError>
+    async fn retry_until_committed<F, C>(&self, step: &str, commit: C) -> Result<(), ClaimError>
     where
         F: Future<Output = Result<(), ClaimError>> + Send,
         C: Fn() -> F,
@@ -300,38 +310,39 @@
         loop {
             let began = Instant::now();
             let result = commit().await;
-            self.core.metrics.commit(step, began.elapsed());
+            self.core.metrics.claim_step(step, began.elapsed());
             match &result {
                 Ok(()) | Err(ClaimError::Rejected(_) | ClaimError::Ended(_)) => return result,
                 Err(_) if self.is_drained() => return result,
                 Err(error) => {
                     let key = &self.key.key;
-                    log::warn!(step, key:% = key, peer = "control"; "not committed yet: {error}");
+                    log::warn!(step, key:% = key, peer = "control";
+                        "claim step not committed yet, retrying: {error}");
                 }
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Tells whether a drain has waited long enough for a quorum.
+    /// Returns whether a drain has waited long enough for a quorum.
     fn is_drained(&self) -> bool {
-        self.core.drain.refusing_for().is_some_and(|it| it > DRAIN)
+        self.core.drain.refusing_for().is_some_and(|it| it > DRAIN_RETRY_LIMIT)
     }
 }
 
-/// Says that the call left, that its answer is lost, and what the caller should do.
-fn lost(halt: Halt) -> Problem {
-    Problem::unknown(halt.with(
+/// Adds to the error that the call was sent and its answer lost, and what the caller should do.
+fn call_lost(error: RequestError) -> Problem {
+    Problem::unknown(error.with_detail(
         "it may have run, and it never runs again under this key: ask the service it was meant \
          for, and send a new key if it did not run",
     ))
 }
 
-fn again(halt: Halt) -> Halt {
-    halt.with("nothing that may not be repeated ran, send it again with the same key")
+fn with_resend_hint(error: RequestError) -> RequestError {
+    error.with_detail("nothing that may not be repeated ran, send it again with the same key")
 }
 
-fn doubtful(halt: &Halt) -> Halt {
-    let detail = format!("{}; whether the key is free again is not known yet", halt.detail);
-    Halt::new(Reason::ClaimLost, detail).after(retry_after())
+fn release_uncertain(error: &RequestError) -> RequestError {
+    let detail = format!("{}; whether the key is free again is not known yet", error.detail);
+    RequestError::new(Reason::ClaimLost, detail).retry_after(retry_after())
 }
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -1,4 +1,4 @@
-//! What all requests of one entry share.
+//! The state that all requests of one entry share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,34 +11,34 @@
 use upstream::Calls;
 
 use crate::answer::retry_after;
-use crate::auth::View;
+use crate::auth::ServiceView;
+use crate::claim_table::{ClaimTable, QuorumLoss};
+use crate::connections::Connections;
 use crate::drain::Drain;
-use crate::join::Joins;
 use crate::metrics::Metrics;
-use crate::once::{OnceTable, Quorum};
-use crate::outcome::{Halt, Reason};
-use crate::peers::Peers;
+use crate::outcome::{Reason, RequestError};
 use crate::session::Session;
+use crate::shared_run::SharedRuns;
 use crate::usage::Usage;
 
-/// What all requests of one entry share. Request handlers run on the front's threads and the runs
-/// on the main runtime; everything here is `Send` and `Sync`.
+/// The state that all requests of one entry share. Request handlers run on the HTTP server's
+/// threads and the pipeline runs on the main runtime; everything here is `Send` and `Sync`.
 pub(crate) struct Core<S> {
     pub(crate) vm: VmName,
     pub(crate) owner: Incarnation,
     pub(crate) session: Arc<S>,
     pub(crate) router: Router,
     pub(crate) calls: Calls,
-    pub(crate) view: ArcSwapOption<View>,
+    pub(crate) view: ArcSwapOption<ServiceView>,
     pub(crate) drain: Arc<Drain>,
-    pub(crate) joins: Joins,
-    pub(crate) once: OnceTable,
-    pub(crate) quorum: Quorum,
+    pub(crate) shared_runs: SharedRuns,
+    pub(crate) claims: ClaimTable,
+    pub(crate) quorum_loss: QuorumLoss,
     pub(crate) usage: Usage,
-    pub(crate) peers: Arc<Peers>,
+    pub(crate) connections: Arc<Connections>,
     pub(crate) metrics: Metrics,
     pub(crate) runtime: Handle,
-    attempt: AtomicU64,
+    next_attempt: AtomicU64,
 }
 
 impl<S: Session> Core<S> {
@@ -46,7 +46,7 @@
         (vm, owner): (VmName, Incarnation),
         session: Arc<S>,
         router: Router,
-        (runtime, connections): (Handle, usize),
+        (runtime, max_connections): (Handle, usize),
     ) -> Self {
         Self {
             vm,
@@ -56,38 +56,43 @@
             calls: Calls::new(),
             view: ArcSwapOption::empty(),
             drain: Arc::default(),
-            joins: Joins::default(),
-            once: OnceTable::default(),
-            quorum: Quorum::default(),
+            shared_runs: SharedRuns::default(),
+            claims: ClaimTable::default(),
+            quorum_loss: QuorumLoss::default(),
             usage: Usage::default(),
-            peers: Arc::new(Peers::new(connections, runtime.clone())),
+            connections: Arc::new(Connections::new(max_connections, runtime.clone())),
             metrics: Metrics::new(),
             runtime,
-            attempt: AtomicU64::new(rand::random()),
+            next_attempt: AtomicU64::new(rand::random()),
         }
     }
 
-    /// Returns the service to serve a request under.
+    /// Checks that a quorum confirmed the version in force recently enough to serve a request.
     ///
-    /// What goes wrong without the check of its age: an entry that is cut off from control goes on
-    /// under a version that was replaced, for hours, while everyone believes the new one is in
-    /// force. It is noticed only here, by how long ago a quorum last confirmed the version.
-    pub(crate) fn fresh(&self, view: &View, once: bool, now: Instant) -> Result<(), Halt> {
+    /// An entry that is cut off from control would otherwise serve a replaced version for hours.
+    /// The age of the last confirmation is the only sign of it that the entry has.
+    pub(crate) fn check_freshness(
+        &self,
+        view: &ServiceView,
+        at_most_once: bool,
+        now: Instant,
+    ) -> Result<(), RequestError> {
         let policy = &view.service().policy;
         let age = self.session.age(now);
         if age.is_some_and(|age| age <= policy.freshness.into()) {
             return Ok(());
         }
-        if policy.stale == Stale::Serve && !once {
+        if policy.stale == Stale::Serve && !at_most_once {
             return Ok(());
         }
         let detail = "no quorum confirmed lately which version of the service is in force";
-        Err(Halt::new(Reason::Refused(RefusalReason::StaleService), detail).after(retry_after()))
+        Err(RequestError::new(Reason::Refused(RefusalReason::StaleService), detail)
+            .retry_after(retry_after()))
     }
 
-    /// Draws the ticket of a new attempt. Numbers are never drawn twice in one life.
+    /// Returns the ticket of a new attempt. No number is used twice within one incarnation.
     pub(crate) fn ticket(&self) -> ClaimTicket {
-        let attempt = self.attempt.fetch_add(1, Ordering::Relaxed);
+        let attempt = self.next_attempt.fetch_add(1, Ordering::Relaxed);
         ClaimTicket { vm: self.vm.clone(), owner: self.owner, attempt }
     }
 }
--- a/crates/entry/src/drain.rs
+++ b/crates/entry/src/drain.rs
@@ -1,4 +1,4 @@
-//! The phases of a drain, and the count of requests under way.
+//! The phases of a drain, and the count of requests in flight.
 
 use std::sync::atomic::{AtomicU8, AtomicUsize, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -6,16 +6,16 @@
 
 use tokio::sync::Notify;
 
-/// How far a drain has come.
+/// The phase of a drain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
     /// New requests are served.
     #[default]
     Serving,
-    /// New requests are served, but the entry says that it is not ready, so that the balancer
-    /// stops sending them.
-    Noticed,
-    /// New requests are refused; those under way go on.
+    /// New requests are served, but the entry reports that it is not ready, so that the load
+    /// balancer stops sending them.
+    NotReady,
+    /// New requests are refused; those in flight continue.
     Refusing,
 }
 
@@ -23,14 +23,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct Drain {
     phase: AtomicU8,
-    refusing: OnceLock<Instant>,
-    under_way: AtomicUsize,
+    refusing_since: OnceLock<Instant>,
+    in_flight: AtomicUsize,
     idle: Notify,
 }
 
-/// One request under way, until the last byte of its answer is handed to the socket.
+/// Counts one request as in flight until the last byte of its answer is handed to the socket.
 #[derive(Debug)]
-pub(crate) struct UnderWay {
+pub(crate) struct InFlightGuard {
     drain: Arc<Drain>,
 }
 
@@ -38,33 +38,33 @@
     pub(crate) fn phase(&self) -> Phase {
         match self.phase.load(Ordering::SeqCst) {
             0 => Phase::Serving,
-            1 => Phase::Noticed,
+            1 => Phase::NotReady,
             _ => Phase::Refusing,
         }
     }
 
-    /// Goes on to a later phase; an earlier one is ignored.
+    /// Advances to a later phase; an earlier one is ignored.
     pub(crate) fn advance(&self, phase: Phase) {
         self.phase.fetch_max(phase as u8, Ordering::SeqCst);
         if phase == Phase::Refusing {
-            self.refusing.get_or_init(Instant::now);
+            self.refusing_since.get_or_init(Instant::now);
         }
     }
 
-    /// Returns how long new requests have been refused, if they are.
+    /// Returns for how long new requests have been refused, or `None` if they are not.
     pub(crate) fn refusing_for(&self) -> Option<Duration> {
-        self.refusing.get().map(Instant::elapsed)
+        self.refusing_since.get().map(Instant::elapsed)
     }
 
-    pub(crate) fn under_way(&self) -> usize {
-        self.under_way.load(Ordering::SeqCst)
+    pub(crate) fn in_flight(&self) -> usize {
+        self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Waits until no request is under way.
-    pub(crate) async fn idle(&self) {
+    /// Waits until no request is in flight.
+    pub(crate) async fn wait_idle(&self) {
         loop {
             let notified = self.idle.notified();
-            if self.under_way() == 0 {
+            if self.in_flight() == 0 {
                 return;
             }
             notified.await;
@@ -72,18 +72,18 @@
     }
 }
 
-impl UnderWay {
-    /// Counts a request. Whoever reads the phase after this either refuses the request, or is
-    /// waited for: the count goes up before the phase is read.
+impl InFlightGuard {
+    /// Counts a request as in flight. The count goes up before the caller reads the phase, so a
+    /// request is either refused or waited for by a drain.
     pub(crate) fn begin(drain: &Arc<Drain>) -> Self {
-        drain.under_way.fetch_add(1, Ordering::SeqCst);
+        drain.in_flight.fetch_add(1, Ordering::SeqCst);
         Self { drain: Arc::clone(drain) }
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        if self.drain.under_way.fetch_sub(1, Ordering::SeqCst) == 1 {
+        if self.drain.in_flight.fetch_sub(1, Ordering::SeqCst) == 1 {
             self.drain.idle.notify_waiters();
         }
     }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! The running entry.
+//! The running entry: startup, drain and the HTTP server.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -19,25 +19,26 @@
 
 use crate::core::Core;
 use crate::drain::Phase;
-use crate::front;
+use crate::handlers;
 use crate::ops;
 use crate::session::Session;
 use crate::tasks;
 
-/// The most headers of a request.
-const HEADERS: usize = 64;
+/// The maximum number of headers of a request.
+const MAX_HEADERS: usize = 64;
 
-/// The most bytes of a request's head, and of what is read ahead of its body.
-const READ_AHEAD: usize = 64 << 10;
+/// The maximum size of a request's head, and of what is read ahead of its body, in bytes.
+const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// The bytes of an answer that wait for a slow caller before the stream waits.
-const WRITE_AHEAD: usize = 256 << 10;
+/// The size of the write buffer per connection, in bytes. A stream waits for a slow caller once it
+/// is full.
+const WRITE_BUFFER_BYTES: usize = 256 << 10;
 
-/// How long a caller may take to send a request's head, and to start its next.
-const HEAD_TIME: Duration = Duration::from_secs(5);
+/// How long a caller may take to send a request's head, and to start its next request.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a connection is kept without a request.
-const KEEP_ALIVE: Duration = Duration::from_secs(75);
+/// How long a connection without a request is kept open.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 
 /// A running entry.
 pub struct Entry<S = Follower> {
@@ -49,23 +50,23 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// What an entry needs beside its session.
+/// The configuration of an entry, apart from its session with control.
 #[derive(Clone, Debug)]
 pub struct EntryConfig {
-    /// This VM.
+    /// The name of this VM.
     pub vm: VmName,
-    /// This VM's site.
+    /// The site of this VM.
     pub site: SiteName,
-    /// The life of this process.
+    /// The incarnation of this process.
     pub owner: Incarnation,
-    /// The entry's own settings.
+    /// The entry's part of the settings.
     pub part: EntryPart,
 }
 
-/// Starts an entry on the current tokio runtime.
+/// Starts an entry on the current tokio runtime, with a session of its own.
 ///
 /// # Errors
-/// Where the settings have no entry part, or an address cannot be bound.
+/// Returns an error if the settings have no entry part, or if the address cannot be bound.
 pub async fn spawn(settings: NodeSettings) -> StepResult<Entry> {
     let NodeSettings { vm, site, secret, members, entry, .. } = settings;
     let part = entry.ok_or_else(|| {
@@ -81,10 +82,10 @@
 }
 
 impl<S: Session> Entry<S> {
-    /// Starts an entry with a session that runs already.
+    /// Starts an entry with a session that is already running.
     ///
     /// # Errors
-    /// Where the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub fn open(
         config: EntryConfig,
         session: Arc<S>,
@@ -103,72 +104,76 @@
         Ok(Self { core, address, notice: part.notice.into(), server, thread, tasks })
     }
 
-    /// Returns the address that callers reach.
+    /// Returns the address on which callers are served.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Shuts down without cutting a request.
     ///
-    /// The order matters. Not ready first, while everything is still served: the balancer needs
-    /// time to notice, and what it sends meanwhile must not fail. Then new requests are refused as
-    /// not run, those under way go on to their last byte, and connections close once they carry
-    /// none. Claims end with the requests that hold them.
+    /// The entry first reports that it is not ready while it still serves everything: the load
+    /// balancer needs time to notice, and what it sends meanwhile must not fail. Then the entry
+    /// refuses new requests as not run, finishes those in flight to their last byte, and closes
+    /// each connection once it carries no request. Claims end with the requests that hold them.
     pub async fn drain(self) {
         let Self { core, notice, server, thread, tasks, .. } = self;
-        log::info!("drain: not ready");
-        core.drain.advance(Phase::Noticed);
+        log::info!("drain started: /readyz reports not ready, requests are still served");
+        core.drain.advance(Phase::NotReady);
         tokio::time::sleep(notice).await;
-        log::info!(under_way = core.drain.under_way(); "drain: new requests are refused");
+        log::info!(under_way = core.drain.in_flight();
+            "drain: new requests are refused, waiting for those in flight");
         core.drain.advance(Phase::Refusing);
         core.session.draining();
-        core.peers.close_idle();
-        core.drain.idle().await;
-        core.peers.close_idle();
-        tasks::last_report(&core);
+        core.connections.close_idle();
+        core.drain.wait_idle().await;
+        core.connections.close_idle();
+        tasks::report_usage(&core);
         let stopped = tokio::task::spawn_blocking(move || {
             server.stop(true);
             thread.join()
         });
         if !matches!(stopped.await, Ok(Ok(()))) {
-            log::warn!("drain: the server's thread broke off");
+            log::warn!("drain: the HTTP server's thread panicked");
         }
         tasks.iter().for_each(JoinHandle::abort);
-        log::info!("drain: done");
+        log::info!("drain finished");
     }
 }
 
-/// Starts the callers' HTTP side on threads of its own.
+/// Starts the HTTP server for callers on its own threads.
 fn serve<S: Session>(
     core: &Arc<Core<S>>,
     listener: TcpListener,
     threads: usize,
 ) -> StepResult<(ServerHandle, thread::JoinHandle<()>)> {
-    let accept = crate::peers::Accept { listener, peers: Arc::clone(&core.peers) };
+    let accept = crate::connections::TrackingAcceptor {
+        listener,
+        connections: Arc::clone(&core.connections),
+    };
     let app = App::new()
         .with_state(Arc::clone(core))
-        .at("/v1/pipelines/{pipeline}", handler_service(front::pipelines::<S>))
+        .at("/v1/pipelines/{pipeline}", handler_service(handlers::pipelines::<S>))
         .at("/livez", get(handler_service(ops::livez::<S>)))
         .at("/readyz", get(handler_service(ops::readyz::<S>)))
         .at("/metrics", get(handler_service(ops::metrics::<S>)))
         .at("/status", get(handler_service(ops::status::<S>)))
-        .at("/{*path}", handler_service(front::nowhere::<S>))
+        .at("/{*path}", handler_service(handlers::not_found::<S>))
         .finish();
     let server = HttpServer::serve(app)
         .disable_signal()
         .server_threads(1)
         .worker_threads(threads.max(1))
-        .request_head_timeout(HEAD_TIME)
-        .keep_alive_timeout(KEEP_ALIVE)
-        .max_request_headers::<HEADERS>()
-        .max_read_buf_size::<READ_AHEAD>()
-        .max_write_buf_size::<WRITE_AHEAD>()
+        .request_head_timeout(HEAD_TIMEOUT)
+        .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
+        .max_request_headers::<MAX_HEADERS>()
+        .max_read_buf_size::<READ_BUFFER_BYTES>()
+        .max_write_buf_size::<WRITE_BUFFER_BYTES>()
         .listen(accept);
     let mut server = server.map_err(|e| StepError::new("serve", e))?.run();
     let handle = server.handle().map_err(|e| StepError::new("serve", e))?;
     let wait = move || {
         if let Err(e) = server.wait() {
-            log::error!("serve callers: {e}");
+            log::error!("HTTP server for callers failed: {e}");
         }
     };
     let thread = thread::Builder::new().name("front".to_owned()).spawn(wait);
--- a/crates/entry/src/generate.rs
+++ b/crates/entry/src/generate.rs
@@ -1,4 +1,4 @@
-//! A stage run by a model engine: a stream of tokens that goes on elsewhere when it is cut.
+//! Runs a stage on a model engine: a stream of tokens that is resumed when it is cut.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,15 +11,15 @@
     CallError, EngineEvent, EngineStream, EngineUsage, Fault, Generation, Sent, Target,
 };
 
-use crate::flight::Flight;
-use crate::hedge::{Raced, race};
-use crate::outcome::{Halt, Progress, Reason};
+use crate::call::InFlightCall;
+use crate::hedge::{RaceResult, race};
+use crate::outcome::{Progress, Reason, RequestError};
 use crate::session::Session;
 use crate::sink::Sink;
-use crate::step::{Done, Next, Step, Tries, Used};
+use crate::step::{Attempts, Retry, StageResult, Step, Used};
 
-/// The bytes of a prompt that decide which engine may have it cached.
-const PREFIX: usize = 256;
+/// The number of bytes of a prompt that decide which engine may have it cached.
+const PREFIX_BYTES: usize = 256;
 
 #[derive(Serialize)]
 struct Prompt<'a> {
@@ -27,87 +27,91 @@
     previous: Option<&'a RawValue>,
 }
 
-/// What was delivered so far.
+/// The tokens delivered so far.
 #[derive(Debug, Default)]
 struct Delivered {
     position: u64,
     text: String,
-    /// The time engines spent on tokens that were delivered before their stream was cut.
-    cut: Duration,
+    /// The time that engines spent on delivered tokens before their stream was cut.
+    cut_time: Duration,
 }
 
-/// A stream with its first event, which decides a race.
-struct Started {
+/// A stream with its first event. The first event decides which of two hedged calls wins.
+struct StartedStream {
     stream: EngineStream,
     event: EngineEvent,
 }
 
-/// Runs an engine's stage to its end, passing each token on once.
+/// Runs an engine's stage to its end and passes on each token exactly once.
 pub(crate) async fn run<S: Session, T: Sink>(
     step: &Step<'_, S>,
     progress: &mut Progress,
     sink: &mut T,
-) -> Result<Done, Halt> {
-    let place = step.place().await?;
+) -> Result<StageResult, RequestError> {
+    let slot = step.wait_for_slot().await?;
     let prompt = prompt(step)?;
     let prefix = prefix(step, &prompt);
-    let mut tries = Tries::default();
+    let mut attempts = Attempts::default();
     let mut fresh = !step.stage.repeatable;
     let mut delivered = Delivered::default();
-    let pick = step.pick(&tries, Some(prefix))?;
-    let mut flight = Flight::begin(step, pick, &mut tries, progress);
+    let pick = step.pick(&attempts, Some(prefix))?;
+    let mut call = InFlightCall::begin(step, pick, &mut attempts, progress);
     loop {
         let position = delivered.position;
         let start = |upstream, limit| start(step, &prompt, &delivered, (upstream, limit, fresh));
-        let Raced { flight: mut used, result } =
-            race(step, flight, &mut tries, progress, start).await;
+        let RaceResult { call: mut winner, result } =
+            race(step, call, &mut attempts, progress, start).await;
         let error = match result {
-            Ok(started) => match follow(step, started, &mut delivered, progress, sink).await {
+            Ok(started) => match forward(step, started, &mut delivered, progress, sink).await {
                 Ok(ended) => {
-                    step.ended(&place);
-                    return done(step, used, ended, &delivered, &tries);
+                    step.ended(&slot);
+                    return stage_result(step, winner, ended, &delivered, &attempts);
                 }
-                Err(Cut::Call(error)) => error,
-                Err(Cut::Halt(halt)) => return Err(halt),
+                Err(StreamError::Call(error)) => error,
+                Err(StreamError::Request(error)) => return Err(error),
             },
             Err(error) => error,
         };
-        let (reused, moved) = (error.reused, delivered.position > position);
-        if moved {
-            delivered.cut += used.elapsed();
+        let (reused, delivered_more) = (error.reused, delivered.position > position);
+        if delivered_more {
+            delivered.cut_time += winner.elapsed();
         }
-        let fault = used.failed(error, moved, progress);
-        (flight, fresh) = match resume(step, &fault, (moved, reused), &mut tries, progress)? {
-            Next::Same => (used.again(&mut tries, progress), true),
-            Next::Other => {
-                let pick = step.pick_other(used, &fault, &mut tries, Some(prefix))?;
-                (Flight::begin(step, pick, &mut tries, progress), !step.stage.repeatable)
-            }
-        };
+        let fault = winner.failed(error, delivered_more, progress);
+        (call, fresh) =
+            match resume(step, &fault, (delivered_more, reused), &mut attempts, progress)? {
+                Retry::Same => (winner.retried(&mut attempts, progress), true),
+                Retry::Other => {
+                    let pick = step.pick_other(winner, &fault, &mut attempts, Some(prefix))?;
+                    (
+                        InFlightCall::begin(step, pick, &mut attempts, progress),
+                        !step.stage.repeatable,
+                    )
+                }
+            };
     }
 }
 
-/// Decides what follows a failed stream. One that was cut after it delivered goes on at the same
-/// engine first, which has the prompt and what it generated in its cache.
+/// Decides what follows a failed stream. A stream that was cut after it delivered tokens is resumed
+/// at the same engine first, which has the prompt and the generated tokens in its cache.
 fn resume<S: Session>(
     step: &Step<'_, S>,
     fault: &Fault,
-    (moved, reused): (bool, bool),
-    tries: &mut Tries,
+    (delivered_more, reused): (bool, bool),
+    attempts: &mut Attempts,
     progress: &Progress,
-) -> Result<Next, Halt> {
+) -> Result<Retry, RequestError> {
     let cut = matches!(fault, Fault::Cut(_) | Fault::Silent);
-    if moved && cut && step.stage.repeatable {
-        step.core.metrics.extra(&step.stage.pool, "resume");
-        return Ok(Next::Same);
+    if delivered_more && cut && step.stage.repeatable {
+        step.core.metrics.extra_call(&step.stage.pool, "resume");
+        return Ok(Retry::Same);
     }
-    step.next(fault, reused, tries, progress)
+    step.after_failure(fault, reused, attempts, progress)
 }
 
-/// Why following a stream stopped.
-enum Cut {
+/// The reason why reading a stream stopped.
+enum StreamError {
     Call(CallError),
-    Halt(Halt),
+    Request(RequestError),
 }
 
 async fn start<S: Session>(
@@ -115,7 +119,7 @@
     prompt: &str,
     delivered: &Delivered,
     to: (Arc<UpstreamView>, Duration, bool),
-) -> Result<Started, CallError> {
+) -> Result<StartedStream, CallError> {
     let (upstream, first_byte, fresh) = to;
     let ask = Generation {
         call: CallId::random(),
@@ -130,33 +134,33 @@
     let limits = step.limits(first_byte);
     let mut stream = step.core.calls.generate(target, ask, limits).await?;
     let event = stream.next().await?;
-    Ok(Started { stream, event })
+    Ok(StartedStream { stream, event })
 }
 
 /// Passes the tokens of a stream on until its end.
-async fn follow<S: Session, T: Sink>(
+async fn forward<S: Session, T: Sink>(
     step: &Step<'_, S>,
-    started: Started,
+    started: StartedStream,
     delivered: &mut Delivered,
     progress: &mut Progress,
     sink: &mut T,
-) -> Result<(EngineUsage, EngineStream), Cut> {
-    progress.heard();
-    let Started { mut stream, mut event } = started;
+) -> Result<(EngineUsage, EngineStream), StreamError> {
+    progress.upstream_answered();
+    let StartedStream { mut stream, mut event } = started;
     loop {
         match event {
             EngineEvent::End(usage) => return Ok((usage, stream)),
             EngineEvent::Token { position, text } => {
                 if position != delivered.position {
-                    return Err(Cut::Call(gap(&stream, delivered.position, position)));
+                    return Err(StreamError::Call(gap(&stream, delivered.position, position)));
                 }
                 delivered.position += 1;
                 delivered.text.push_str(&text);
-                let sent = sink.token(position, &text, step.by).await;
-                sent.map_err(Cut::Halt)?;
+                let sent = sink.token(position, &text, step.deadline).await;
+                sent.map_err(StreamError::Request)?;
             }
         }
-        event = stream.next().await.map_err(Cut::Call)?;
+        event = stream.next().await.map_err(StreamError::Call)?;
     }
 }
 
@@ -165,33 +169,33 @@
     CallError { step: "check position", peer, fault, sent: Sent::Maybe, reused: false }
 }
 
-fn prompt<S: Session>(step: &Step<'_, S>) -> Result<String, Halt> {
+fn prompt<S: Session>(step: &Step<'_, S>) -> Result<String, RequestError> {
     let prompt = Prompt { input: &step.request.input, previous: step.previous };
-    serde_json::to_string(&prompt).map_err(|e| Halt::new(Reason::BadRequest, e.to_string()))
+    serde_json::to_string(&prompt).map_err(|e| RequestError::new(Reason::BadRequest, e.to_string()))
 }
 
-/// Hashes what requests that share a cached prefix have in common (FNV-1a), so that every entry
-/// sends them to the same engine.
+/// Hashes (FNV-1a) the part that requests with a shared cached prefix have in common, so that every
+/// entry sends them to the same engine.
 fn prefix<S: Session>(step: &Step<'_, S>, prompt: &str) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     let name = step.request.ask.pipeline.as_str().bytes();
-    let bytes = name.chain([0]).chain(prompt.bytes().take(PREFIX));
+    let bytes = name.chain([0]).chain(prompt.bytes().take(PREFIX_BYTES));
     bytes.fold(OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
 }
 
-fn done<S: Session>(
+fn stage_result<S: Session>(
     step: &Step<'_, S>,
-    mut flight: Flight<'_, S>,
+    mut call: InFlightCall<'_, S>,
     (usage, stream): (EngineUsage, EngineStream),
     delivered: &Delivered,
-    tries: &Tries,
-) -> Result<Done, Halt> {
-    let cut = Micros::from(delivered.cut).0;
+    attempts: &Attempts,
+) -> Result<StageResult, RequestError> {
+    let cut = Micros::from(delivered.cut_time).0;
     let busy = Micros(usage.busy.0 + cut);
     let used = Used { total: stream.total(), tokens: Tokens(delivered.position), busy };
-    flight.succeeded(stream.first_byte, used);
+    call.succeeded(stream.first_byte, used);
     let output = to_raw_value(&delivered.text);
-    let output = output.map_err(|e| Halt::new(Reason::Upstream, e.to_string()))?;
-    Ok(Done { output, line: step.line(flight.upstream(), tries, used) })
+    let output = output.map_err(|e| RequestError::new(Reason::Upstream, e.to_string()))?;
+    Ok(StageResult { output, summary: step.summary(call.upstream(), attempts, used) })
 }
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/handlers.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP side: reads a request, starts it, writes its answer.
+//! HTTP handlers for callers: read a request, start it, write its answer.
 
 use std::future::poll_fn;
 use std::pin::pin;
@@ -17,11 +17,11 @@
 use xitca_web::http::{StatusCode, WebResponse};
 
 use crate::answer::retry_after;
-use crate::auth::View;
+use crate::auth::ServiceView;
+use crate::connections::ConnectionGuard;
 use crate::core::Core;
-use crate::drain::{Phase, UnderWay};
-use crate::outcome::{Halt, Reason};
-use crate::peers::Busy;
+use crate::drain::{InFlightGuard, Phase};
+use crate::outcome::{Reason, RequestError};
 use crate::reply::Reply;
 use crate::request::{Head, KEY_HEADER, Request};
 use crate::serve;
@@ -29,17 +29,17 @@
 use crate::sink::Item;
 use crate::stream::EventBody;
 
-/// The path before a pipeline's name.
+/// The path prefix before a pipeline's name.
 const PREFIX: &str = "/v1/pipelines/";
 
-/// How long a caller may take to read what is left of its answer past the longest deadline.
-const ANSWER: Duration = Duration::from_secs(10);
+/// How long after the longest possible request time a caller may still take to read its answer.
+const ANSWER_GRACE: Duration = Duration::from_secs(10);
 
-/// What one request holds until the last byte of its answer is written.
+/// The guards that one request holds until the last byte of its answer is written.
 #[derive(Debug)]
-pub(crate) struct Held {
-    pub(crate) busy: Busy,
-    pub(crate) _under_way: UnderWay,
+pub(crate) struct RequestGuards {
+    pub(crate) connection: ConnectionGuard,
+    pub(crate) _in_flight: InFlightGuard,
 }
 
 /// Serves `POST /v1/pipelines/{pipeline}`.
@@ -49,25 +49,28 @@
 ) -> WebResponse {
     let core = context.state();
     let arrived = Instant::now();
-    // Counted before the phase is read: see `UnderWay::begin`.
-    let under_way = UnderWay::begin(&core.drain);
-    let peer = core.peers.get(context.req().body().socket_addr());
-    let longest = core.view.load().as_ref().map_or(Duration::ZERO, |it| it.longest());
-    let held = Held { busy: Busy::begin(peer, longest + ANSWER), _under_way: under_way };
-    let request = match read(core, context, body, arrived).await {
+    // Must come before the phase is read: see `InFlightGuard::begin`.
+    let in_flight = InFlightGuard::begin(&core.drain);
+    let peer = core.connections.get(context.req().body().socket_addr());
+    let max_duration = core.view.load().as_ref().map_or(Duration::ZERO, |it| it.max_duration());
+    let guards = RequestGuards {
+        connection: ConnectionGuard::begin(peer, max_duration + ANSWER_GRACE),
+        _in_flight: in_flight,
+    };
+    let request = match read_request(core, context, body, arrived).await {
         Ok(request) => request,
-        Err(halt) => {
+        Err(error) => {
             let id = RequestId::random();
-            let keyed = context.req().headers().contains_key(KEY_HEADER);
-            let reply = Reply::refuse(halt, keyed, id);
-            core.metrics.request(reply.outcome.as_str(), reply.reason, arrived.elapsed());
-            return whole(core, reply, id);
+            let has_key = context.req().headers().contains_key(KEY_HEADER);
+            let reply = Reply::refuse(error, has_key, id);
+            core.metrics.request_ended(reply.outcome.as_str(), reply.reason, arrived.elapsed());
+            return full_response(core, reply, id);
         }
     };
     let (id, streams) = (request.id, request.stream);
     let mut items = serve::start(core, request);
     let first = {
-        let closed = poll_fn(|cx| held.busy.poll_closed(cx));
+        let closed = poll_fn(|cx| guards.connection.poll_closed(cx));
         let (closed, next) = (pin!(closed), pin!(items.recv()));
         match select(next, closed).await {
             Either::Left((first, _)) => first,
@@ -76,81 +79,86 @@
     };
     match first {
         Some(Item::Last(reply)) if !streams || reply.outcome != Outcome::Complete => {
-            whole(core, reply, id)
+            full_response(core, reply, id)
         }
-        Some(first) => events(core, id, EventBody::new(first, items, held)),
-        None => gone(core, items, held, id),
+        Some(first) => stream_response(core, id, EventBody::new(first, items, guards)),
+        None => abort_response(core, items, guards, id),
     }
 }
 
-/// Answers for paths that do not exist, in the form of every other answer.
-pub(crate) async fn nowhere<S: Session>(context: &WebContext<'_, Arc<Core<S>>>) -> WebResponse {
+/// Answers requests for unknown paths, with a problem body like every other refusal.
+pub(crate) async fn not_found<S: Session>(context: &WebContext<'_, Arc<Core<S>>>) -> WebResponse {
     let detail = format!("there is nothing at {}", context.req().uri().path());
-    let (halt, id) = (Halt::new(Reason::NoPipeline, detail), RequestId::random());
-    whole(context.state(), Reply::refuse(halt, false, id), id)
+    let (error, id) = (RequestError::new(Reason::NoPipeline, detail), RequestId::random());
+    full_response(context.state(), Reply::refuse(error, false, id), id)
 }
 
 /// Reads and checks a request.
-async fn read<S: Session>(
+async fn read_request<S: Session>(
     core: &Core<S>,
     context: &WebContext<'_, Arc<Core<S>>>,
     body: RequestBody,
     arrived: Instant,
-) -> Result<Request, Halt> {
+) -> Result<Request, RequestError> {
     if core.drain.phase() == Phase::Refusing {
         let reason = Reason::Refused(RefusalReason::Draining);
-        return Err(Halt::new(reason, "this entry is shutting down").after(retry_after()));
+        return Err(
+            RequestError::new(reason, "this entry is shutting down").retry_after(retry_after())
+        );
     }
     let view = core.view.load_full().ok_or_else(|| {
         let reason = Reason::Refused(RefusalReason::StaleService);
-        Halt::new(reason, "this entry holds no service yet").after(retry_after())
+        RequestError::new(reason, "this entry holds no service yet").retry_after(retry_after())
     })?;
     if context.req().method() != Method::POST {
-        return Err(Halt::new(Reason::BadRequest, "send the request with POST"));
+        return Err(RequestError::new(Reason::BadRequest, "send the request with POST"));
     }
     let headers = context.req().headers();
     let customer = view.customer(headers.get(header::AUTHORIZATION));
-    let customer = customer
-        .ok_or_else(|| Halt::new(Reason::Unauthorized, "the bearer key is missing or unknown"))?;
+    let customer = customer.ok_or_else(|| {
+        RequestError::new(Reason::Unauthorized, "the bearer key is missing or unknown")
+    })?;
     let name = context.req().uri().path().strip_prefix(PREFIX).unwrap_or_default();
     let head = Head::check(arrived, Arc::clone(&view), customer, name, headers)?;
-    core.fresh(&view, head.is_once(), arrived)?;
+    core.check_freshness(&view, head.is_at_most_once(), arrived)?;
     let length = headers.get(header::CONTENT_LENGTH);
     let length = length.and_then(|it| it.to_str().ok()).and_then(|it| it.parse().ok());
     let body = read_body(&view, body, length, arrived).await?;
     head.body(&body)
 }
 
-/// Reads the body whole, within its size and time.
+/// Reads the whole body within its limits of size and time.
 ///
-/// The HTTP library ends the body quietly where the caller closes in its middle, so the length is
-/// compared with the announced one. A chunked body has none; there the JSON text is not whole
-/// either, since no proper prefix of an object is one.
+/// The HTTP library ends the body without an error when the caller closes the connection in the
+/// middle of it, so the length is compared with the announced one. A chunked body announces none; a
+/// cut one fails to parse, since no proper prefix of a JSON object is a JSON object.
 async fn read_body(
-    view: &View,
+    view: &ServiceView,
     body: RequestBody,
     length: Option<u64>,
     arrived: Instant,
-) -> Result<Bytes, Halt> {
+) -> Result<Bytes, RequestError> {
     let limits = &view.service().requests;
     let too_large = || {
         let detail = format!("the body exceeds {}", limits.body);
-        Halt::new(Reason::TooLarge, detail)
+        RequestError::new(Reason::TooLarge, detail)
     };
     if length.is_some_and(|it| it > limits.body.0) {
         return Err(too_large());
     }
-    let by = arrived + Duration::from(limits.read);
+    let deadline = arrived + Duration::from(limits.read);
     let mut body = pin!(body);
     let mut all = BytesMut::new();
     loop {
-        let frame = timeout_at(by.into(), body.as_mut().frame()).await;
+        let frame = timeout_at(deadline.into(), body.as_mut().frame()).await;
         let frame = frame.map_err(|_| {
-            Halt::new(Reason::ReadTimeout, "the request was not sent whole in time")
+            RequestError::new(Reason::ReadTimeout, "the request was not sent whole in time")
         })?;
         match frame {
             None => break,
-            Some(Err(e)) => return Err(Halt::new(Reason::RequestCut, format!("read body: {e}"))),
+            Some(Err(e)) => {
+                return Err(RequestError::new(Reason::RequestCut, format!("read body: {e}")));
+            }
             Some(Ok(frame)) => {
                 if let Ok(data) = frame.into_data() {
                     all.extend_from_slice(&data);
@@ -162,13 +170,13 @@
         }
     }
     if length.is_some_and(|it| it != all.len() as u64) {
-        return Err(Halt::new(Reason::RequestCut, "the body is shorter than announced"));
+        return Err(RequestError::new(Reason::RequestCut, "the body is shorter than announced"));
     }
     Ok(all.freeze())
 }
 
-/// Writes an answer of one piece.
-fn whole<S: Session>(core: &Core<S>, reply: Reply, id: RequestId) -> WebResponse {
+/// Returns a response that carries the whole answer.
+fn full_response<S: Session>(core: &Core<S>, reply: Reply, id: RequestId) -> WebResponse {
     let json = match reply.outcome {
         Outcome::Complete => "application/json",
         _ => "application/problem+json",
@@ -182,20 +190,20 @@
         let seconds = wait.as_millis().div_ceil(1_000).max(1) as u64;
         headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
     }
-    common(core, response, reply.outcome, id)
+    with_common_headers(core, response, reply.outcome, id)
 }
 
-/// Starts a streamed answer.
-fn events<S: Session>(core: &Core<S>, id: RequestId, body: EventBody) -> WebResponse {
+/// Returns a response that streams its answer as events.
+fn stream_response<S: Session>(core: &Core<S>, id: RequestId, body: EventBody) -> WebResponse {
     let mut response = WebResponse::new(ResponseBody::boxed(body));
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
-    // The outcome is in the last event; what the header can say is that none is known yet.
-    common(core, response, Outcome::Unknown, id)
+    // The last event carries the outcome; when the headers are sent it is still unknown.
+    with_common_headers(core, response, Outcome::Unknown, id)
 }
 
-fn common<S: Session>(
+fn with_common_headers<S: Session>(
     core: &Core<S>,
     mut response: WebResponse,
     outcome: Outcome,
@@ -212,17 +220,17 @@
     response
 }
 
-/// Ends a request whose caller left, or whose run broke off without an end: the connection is
-/// closed without an answer.
-fn gone<S: Session>(
+/// Ends a request whose caller left, or whose run stopped without a result, by closing the
+/// connection without an answer.
+fn abort_response<S: Session>(
     core: &Core<S>,
     items: mpsc::Receiver<Item>,
-    held: Held,
+    guards: RequestGuards,
     id: RequestId,
 ) -> WebResponse {
     drop(items);
-    held.busy.cut();
-    let halt = Halt::new(Reason::CallerGone, "the request ended without an answer");
-    let ending = crate::outcome::Ending::Problem(crate::outcome::Problem::unknown(halt));
-    whole(core, Reply::new(&ending, id, Duration::ZERO), id)
+    guards.connection.cut();
+    let error = RequestError::new(Reason::CallerGone, "the request ended without an answer");
+    let ending = crate::outcome::Ending::Problem(crate::outcome::Problem::unknown(error));
+    full_response(core, Reply::new(&ending, id, Duration::ZERO), id)
 }
--- a/crates/entry/src/hedge.rs
+++ b/crates/entry/src/hedge.rs
@@ -1,4 +1,4 @@
-//! A call, and a second one to another upstream where the first takes unusually long.
+//! Hedged calls: a second call to another upstream if the first takes unusually long.
 
 use std::future::Future;
 use std::pin::pin;
@@ -10,78 +10,84 @@
 use tokio::time::sleep;
 use upstream::CallError;
 
-use crate::flight::Flight;
+use crate::call::InFlightCall;
 use crate::outcome::Progress;
 use crate::session::Session;
-use crate::step::{Step, Tries};
+use crate::step::{Attempts, Step};
 
-/// What a call, or the better of two, came to.
-pub(crate) struct Raced<'a, S: Session, T> {
-    pub(crate) flight: Flight<'a, S>,
+/// The outcome of a call, or of the better of two.
+pub(crate) struct RaceResult<'a, S: Session, T> {
+    pub(crate) call: InFlightCall<'a, S>,
     pub(crate) result: Result<T, CallError>,
 }
 
 /// Waits for a call that `start` makes, and starts a second one if the first has no result in time
-/// and the budget allows it. The first good result wins; dropping the other cancels it.
+/// and the budget allows it. The first successful result wins; the other call is cancelled by
+/// dropping it.
 pub(crate) async fn race<'a, S, T, F, C>(
     step: &'a Step<'a, S>,
-    first: Flight<'a, S>,
-    tries: &mut Tries,
+    first: InFlightCall<'a, S>,
+    attempts: &mut Attempts,
     progress: &mut Progress,
     start: C,
-) -> Raced<'a, S, T>
+) -> RaceResult<'a, S, T>
 where
     S: Session,
     F: Future<Output = Result<T, CallError>>,
     C: Fn(Arc<UpstreamView>, Duration) -> F,
 {
-    let call = start(Arc::clone(first.upstream()), first.first_byte());
+    let reply = start(Arc::clone(first.upstream()), first.first_byte());
     let Some(after) = first.hedge_after() else {
-        return Raced { result: call.await, flight: first };
+        return RaceResult { result: reply.await, call: first };
     };
-    let mut call = pin!(call);
+    let mut reply = pin!(reply);
     select! {
-        result = &mut call => return Raced { flight: first, result },
+        result = &mut reply => return RaceResult { call: first, result },
         () = sleep(after) => {}
     }
-    let Some(second) = another(step, &first, tries, progress) else {
-        return Raced { result: call.await, flight: first };
+    let Some(second) = start_hedge(step, &first, attempts, progress) else {
+        return RaceResult { result: reply.await, call: first };
     };
     let mut hedge = pin!(start(Arc::clone(second.upstream()), second.first_byte()));
     select! {
-        result = &mut call => match result {
-            Ok(_) => Raced { flight: first, result },
+        result = &mut reply => match result {
+            Ok(_) => RaceResult { call: first, result },
             Err(error) => {
-                lost(first, error, progress);
-                Raced { result: hedge.await, flight: second }
+                record_failure(first, error, progress);
+                RaceResult { result: hedge.await, call: second }
             }
         },
         result = &mut hedge => match result {
-            Ok(_) => Raced { flight: second, result },
+            Ok(_) => RaceResult { call: second, result },
             Err(error) => {
-                lost(second, error, progress);
-                Raced { result: call.await, flight: first }
+                record_failure(second, error, progress);
+                RaceResult { result: reply.await, call: first }
             }
         },
     }
 }
 
-fn lost<S: Session>(mut flight: Flight<'_, S>, error: CallError, progress: &mut Progress) {
-    flight.failed(error, false, progress);
+fn record_failure<S: Session>(
+    mut call: InFlightCall<'_, S>,
+    error: CallError,
+    progress: &mut Progress,
+) {
+    call.failed(error, false, progress);
 }
 
-fn another<'a, S: Session>(
+fn start_hedge<'a, S: Session>(
     step: &'a Step<'a, S>,
-    first: &Flight<'a, S>,
-    tries: &mut Tries,
+    first: &InFlightCall<'a, S>,
+    attempts: &mut Attempts,
     progress: &mut Progress,
-) -> Option<Flight<'a, S>> {
+) -> Option<InFlightCall<'a, S>> {
     let now = Instant::now();
-    let left = step.by.saturating_duration_since(now);
-    tries.tried.push(first.upstream().name.clone());
-    // The choice comes before the budget: a pool without another upstream must not spend it.
-    let second = step.pick(tries, None).ok()?;
+    let left = step.deadline.saturating_duration_since(now);
+    attempts.tried.push(first.upstream().name.clone());
+    // An upstream is chosen before the budget is charged: a pool without another one must not spend
+    // it.
+    let second = step.pick(attempts, None).ok()?;
     step.core.router.may_hedge(&step.stage.pool, left, now).ok()?;
-    step.core.metrics.extra(&step.stage.pool, "hedge");
-    Some(Flight::begin(step, second, tries, progress))
+    step.core.metrics.extra_call(&step.stage.pool, "hedge");
+    Some(InFlightCall::begin(step, second, attempts, progress))
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,29 +1,30 @@
-//! The entry program: the callers' HTTP side, pipeline runs, claims, drain.
+//! The entry program: the HTTP server for callers, pipeline runs, claims and draining.
 //!
-//! A request is read and checked on one of the front's threads, runs on the main runtime, and is
-//! answered with exactly one outcome. [`outcome`] holds the types that keep that answer honest.
+//! A request is read and checked on one of the HTTP server's threads, runs on the main runtime, and
+//! is answered with exactly one outcome. [`outcome`] holds the types that keep that outcome
+//! correct.
 
 pub mod answer;
 mod auth;
+mod call;
 mod claim;
+mod claim_table;
+mod connections;
 mod core;
 mod drain;
 mod entry;
-mod flight;
-mod front;
 mod generate;
+mod handlers;
 mod hedge;
-mod join;
 mod metrics;
-mod once;
 mod ops;
 pub mod outcome;
-mod peers;
 mod reply;
 mod request;
 mod run;
 mod serve;
 mod session;
+mod shared_run;
 mod sink;
 mod stage;
 mod status;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -9,8 +9,8 @@
 use telemetry::ByteCounters;
 use types::PoolName;
 
-/// Bucket bounds in seconds, up to the longest deadlines.
-const BOUNDS: [f64; 14] =
+/// The bounds of the histograms' buckets in seconds, up to the longest deadlines.
+const BUCKET_BOUNDS: [f64; 14] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 7.0, 15.0];
 
 /// The entry's metrics.
@@ -19,15 +19,15 @@
     registry: Registry,
     bytes: Option<ByteCounters>,
     requests: IntCounterVec,
-    took: HistogramVec,
-    stages: HistogramVec,
-    commits: HistogramVec,
+    request_times: HistogramVec,
+    call_times: HistogramVec,
+    claim_times: HistogramVec,
     calls: IntCounterVec,
-    extra: IntCounterVec,
+    extra_calls: IntCounterVec,
     claims: IntCounterVec,
-    /// Requests under way.
+    /// The number of requests in flight.
     pub(crate) under_way: IntGauge,
-    /// Connections from callers.
+    /// The number of connections from callers.
     pub(crate) connections: IntGauge,
 }
 
@@ -47,7 +47,7 @@
             metric
         };
         let times = |name: &str, help: &str, label: &str| {
-            let options = HistogramOpts::new(name, help).buckets(BOUNDS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(BUCKET_BOUNDS.to_vec());
             let metric = HistogramVec::new(options, &[label]);
             let metric = metric.unwrap_or_else(|e| unreachable!("{name}: {e}"));
             let _ = registry.register(Box::new(metric.clone()));
@@ -59,15 +59,19 @@
                 "Requests by outcome and reason",
                 &["outcome", "reason"],
             ),
-            took: times("mothplank_request_seconds", "Time from arrival to answer", "outcome"),
-            stages: times("mothplank_call_seconds", "Time of calls that were used", "pool"),
-            commits: times("mothplank_claim_seconds", "Time of a claim's steps", "step"),
+            request_times: times(
+                "mothplank_request_seconds",
+                "Time from arrival to answer",
+                "outcome",
+            ),
+            call_times: times("mothplank_call_seconds", "Time of calls that were used", "pool"),
+            claim_times: times("mothplank_claim_seconds", "Time of a claim's steps", "step"),
             calls: counter(
                 "mothplank_calls_total",
                 "Calls to upstreams by pool and end",
                 &["pool", "end"],
             ),
-            extra: counter(
+            extra_calls: counter(
                 "mothplank_extra_calls_total",
                 "Calls beyond the first of a stage, by pool and kind",
                 &["pool", "kind"],
@@ -80,43 +84,43 @@
         }
     }
 
-    pub(crate) fn request(&self, outcome: &str, reason: &str, took: Duration) {
+    pub(crate) fn request_ended(&self, outcome: &str, reason: &str, took: Duration) {
         self.requests.with_label_values(&[outcome, reason]).inc();
-        self.took.with_label_values(&[outcome]).observe(took.as_secs_f64());
+        self.request_times.with_label_values(&[outcome]).observe(took.as_secs_f64());
     }
 
-    pub(crate) fn call(&self, pool: &PoolName, end: &str) {
+    pub(crate) fn call_ended(&self, pool: &PoolName, end: &str) {
         self.calls.with_label_values(&[pool.as_str(), end]).inc();
     }
 
     /// Counts a call whose result was used.
-    pub(crate) fn used(&self, pool: &PoolName, took: Duration) {
-        self.call(pool, "ok");
-        self.stages.with_label_values(&[pool.as_str()]).observe(took.as_secs_f64());
+    pub(crate) fn call_used(&self, pool: &PoolName, took: Duration) {
+        self.call_ended(pool, "ok");
+        self.call_times.with_label_values(&[pool.as_str()]).observe(took.as_secs_f64());
     }
 
-    /// Counts a step of a claim.
-    pub(crate) fn commit(&self, step: &str, took: Duration) {
-        self.commits.with_label_values(&[step]).observe(took.as_secs_f64());
+    /// Records the duration of a step of a claim.
+    pub(crate) fn claim_step(&self, step: &str, took: Duration) {
+        self.claim_times.with_label_values(&[step]).observe(took.as_secs_f64());
     }
 
-    pub(crate) fn extra(&self, pool: &PoolName, kind: &str) {
-        self.extra.with_label_values(&[pool.as_str(), kind]).inc();
+    pub(crate) fn extra_call(&self, pool: &PoolName, kind: &str) {
+        self.extra_calls.with_label_values(&[pool.as_str(), kind]).inc();
     }
 
-    pub(crate) fn claim(&self, answer: &str) {
+    pub(crate) fn claim_answer(&self, answer: &str) {
         self.claims.with_label_values(&[answer]).inc();
     }
 
-    /// Writes all metrics in the text format.
-    pub(crate) fn text(&self) -> Vec<u8> {
+    /// Encodes all metrics in the Prometheus text format.
+    pub(crate) fn encode(&self) -> Vec<u8> {
         if let Some(bytes) = &self.bytes {
             let traffic = wire::Traffic::read();
             bytes.set(traffic.sent, traffic.received, traffic.queued);
         }
         let mut text = Vec::new();
         if let Err(e) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::warn!("encode metrics: {e}");
+            log::warn!("failed to encode metrics: {e}");
         }
         text
     }
--- a/crates/entry/src/ops.rs
+++ b/crates/entry/src/ops.rs
@@ -1,4 +1,4 @@
-//! The pages for the platform and operators: `/livez`, `/readyz`, `/metrics`, `/status`.
+//! HTTP handlers for the platform and operators: `/livez`, `/readyz`, `/metrics`, `/status`.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,12 +14,12 @@
 
 type Context<'a, S> = WebContext<'a, Arc<Core<S>>>;
 
-/// Says that the process runs.
+/// Reports that the process runs.
 pub(crate) async fn livez<S: Session>(_context: &Context<'_, S>) -> WebResponse {
     page(StatusCode::OK, "text/plain", "live\n")
 }
 
-/// Says whether the balancer should send requests here.
+/// Reports whether the load balancer should send requests to this entry.
 pub(crate) async fn readyz<S: Session>(context: &Context<'_, S>) -> WebResponse {
     match status::not_ready(context.state(), Instant::now()) {
         None => page(StatusCode::OK, "text/plain", "ready\n"),
@@ -27,15 +27,15 @@
     }
 }
 
-/// Gives the metrics.
+/// Returns the metrics.
 pub(crate) async fn metrics<S: Session>(context: &Context<'_, S>) -> WebResponse {
     let core = context.state();
-    core.metrics.under_way.set(core.drain.under_way() as i64);
-    core.metrics.connections.set(core.peers.len() as i64);
-    page(StatusCode::OK, "text/plain; version=0.0.4", core.metrics.text())
+    core.metrics.under_way.set(core.drain.in_flight() as i64);
+    core.metrics.connections.set(core.connections.len() as i64);
+    page(StatusCode::OK, "text/plain; version=0.0.4", core.metrics.encode())
 }
 
-/// Gives the entry's state, with its latest decisions.
+/// Returns the entry's state with its latest routing decisions.
 pub(crate) async fn status<S: Session>(context: &Context<'_, S>) -> WebResponse {
     page(StatusCode::OK, "application/json", status::json(context.state(), Instant::now()))
 }
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -1,11 +1,12 @@
-//! Outcomes as types: what a caller is told can only be built from the evidence for it.
+//! Types that allow an outcome to be reported only with the evidence for it.
 //!
-//! What goes wrong without this: an error path far from the socket says `not-run` because it looks
-//! like a refusal, though a call already left; the caller sends the work again and it runs twice.
-//! Or a resend is refused as `not-run` by an entry that never heard of the attempt that did run.
-//! Here `not-run` takes two proofs by value. [`Untouched`] says that no byte of any stage call of
-//! this attempt can have left, and comes only from a [`Progress`] whose every call gave its evidence
-//! back. [`Unclaimed`] says that no other attempt under the request's key ran or holds its claim.
+//! Without them, an error path far from the socket can report `not-run` because the error looks
+//! like a refusal although a call has already left: the caller sends the work again and it runs
+//! twice. Or an entry that does not know about the attempt that did run refuses a resend as
+//! `not-run`. `not-run` therefore takes two proofs by value. [`NothingSent`] shows that no byte of
+//! any stage call of this attempt can have left, and comes only from a [`Progress`] whose every
+//! call has returned its evidence. [`Unclaimed`] shows that no other attempt under the request's
+//! key ran or holds its claim.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,24 +14,24 @@
 use types::{ClaimAnswer, IdempotencyKey, Outcome, Refusal, RefusalReason};
 use upstream::{Declined, Unsent};
 
-use crate::answer::Whole;
+use crate::answer::CompleteAnswer;
 
-/// Why a request has no answer of its own.
+/// The reason why a request did not complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// Refused by admission, a queue or the choice of an upstream.
+    /// Admission, a queue or the choice of an upstream refused it.
     Refused(RefusalReason),
     /// The request is malformed.
     BadRequest,
     /// The bearer key is missing or unknown.
     Unauthorized,
-    /// The customer may not use the pipeline.
+    /// The customer is not allowed to use the pipeline.
     Forbidden,
-    /// There is no such pipeline or path.
+    /// The pipeline or path does not exist.
     NoPipeline,
     /// The caller took too long to send the request.
     ReadTimeout,
-    /// The request broke off before its end.
+    /// The connection closed before the end of the request.
     RequestCut,
     /// The body is too large.
     TooLarge,
@@ -38,33 +39,33 @@
     KeyMissing,
     /// The idempotency key was used with another body.
     KeyMismatch,
-    /// The idempotency key is too old.
+    /// The idempotency key has expired.
     KeyExpired,
-    /// There is no room for another idempotency key.
+    /// The limit of idempotency keys is reached.
     KeysFull,
-    /// Another attempt under the same key is under way.
+    /// Another attempt under the same key is in flight.
     Running,
-    /// The answer exists and is being stored.
+    /// The request has ended and its answer is not stored yet.
     Storing,
     /// The entry that ran the request is lost.
     OwnerLost,
-    /// Whether the claim stands is not known.
+    /// It is unknown whether the claim is still held.
     ClaimLost,
-    /// The call was sent and its answer is lost.
+    /// A call was sent and its answer is lost.
     CallLost,
     /// An upstream failed.
     Upstream,
-    /// Every upstream that was asked declined.
+    /// Every upstream that was called declined.
     Declined,
     /// The deadline passed.
     Deadline,
-    /// The caller left.
+    /// The caller closed its connection.
     CallerGone,
 }
 
 impl Reason {
-    /// Tells whether a request is refused for what it says, so that every attempt with the same
-    /// content is.
+    /// Returns whether the content of the request itself is the reason, so that every attempt with
+    /// the same content is refused as well.
     pub fn is_inherent(self) -> bool {
         matches!(
             self,
@@ -77,7 +78,7 @@
         )
     }
 
-    /// Returns the word used in answers, logs and metrics.
+    /// Returns the reason as written in answers, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Reason::Refused(reason) => reason.as_str(),
@@ -105,83 +106,85 @@
     }
 }
 
-/// Why a run stopped, before it is known what that means for the caller.
+/// Why a request stopped, before it is decided which outcome that means for the caller.
 #[derive(Clone, Debug)]
-pub struct Halt {
+pub struct RequestError {
     /// The reason.
     pub reason: Reason,
-    /// What happened, in a sentence for the caller.
+    /// What happened, as a sentence for the caller.
     pub detail: String,
-    /// When the caller may come back, where that makes sense.
+    /// The time after which the caller may retry, where a retry makes sense.
     pub retry_after: Option<Duration>,
 }
 
-impl Halt {
-    /// Makes a halt that names no time to come back.
+impl RequestError {
+    /// Creates an error without a retry delay.
     pub fn new(reason: Reason, detail: impl Into<String>) -> Self {
         Self { reason, detail: detail.into(), retry_after: None }
     }
 
-    /// Adds what the caller should know besides.
-    pub fn with(mut self, more: &str) -> Self {
+    /// Appends advice for the caller to the detail.
+    pub fn with_detail(mut self, more: &str) -> Self {
         self.detail.push_str("; ");
         self.detail.push_str(more);
         self
     }
 
-    /// Adds the time after which to come back.
-    pub fn after(mut self, wait: Duration) -> Self {
+    /// Sets the time after which the caller may retry.
+    pub fn retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 }
 
-impl From<Refusal> for Halt {
+impl From<Refusal> for RequestError {
     fn from(refusal: Refusal) -> Self {
         let detail = format!("refused: {}", refusal.reason.as_str());
-        Self::new(Reason::Refused(refusal.reason), detail).after(refusal.retry_after)
+        Self::new(Reason::Refused(refusal.reason), detail).retry_after(refusal.retry_after)
     }
 }
 
 /// Proof that no byte of any stage call of a request can have reached an upstream.
 #[derive(Debug)]
-pub struct Untouched(());
+pub struct NothingSent(());
 
 /// Proof that no other attempt under the request's key ran, and that none holds its claim.
 #[derive(Debug)]
 pub struct Unclaimed(());
 
 impl Unclaimed {
-    /// Takes a request without a key: what other requests did is not its own.
+    /// Returns the proof for a request without a key, which other attempts cannot concern.
     pub fn keyless(key: Option<&IdempotencyKey>) -> Option<Self> {
         key.is_none().then_some(Self(()))
     }
 
-    /// Takes a refusal before a claim was asked for. Under a key it proves nothing of other
-    /// attempts, unless it is for what the request itself says: then none was ever accepted.
-    pub fn of_refusal(keyed: bool, reason: Reason) -> Option<Self> {
-        (!keyed || reason.is_inherent()).then_some(Self(()))
+    /// Returns the proof for a request that is refused before a claim was asked for. A refusal
+    /// under a key says nothing about other attempts, unless the request's own content is the
+    /// reason: then no attempt was ever accepted.
+    pub fn of_refusal(has_key: bool, reason: Reason) -> Option<Self> {
+        (!has_key || reason.is_inherent()).then_some(Self(()))
     }
 }
 
-/// A claim that was asked for: only an answer tells how it stands.
+/// A claim that was asked for, whose state only an answer tells.
 #[derive(Debug)]
-pub struct Asked(());
+pub struct ClaimRequested(());
 
-impl Asked {
-    /// Notes that a claim is asked for.
+impl ClaimRequested {
+    /// Records that a claim is asked for.
     pub fn now() -> Self {
         Self(())
     }
 
-    /// Takes an answer that says that this request never ran under this key: the key is held by
-    /// another request, or it is not known and found no room.
+    /// Returns the proof that this request never ran under this key: the key belongs to another
+    /// request, or it is unknown and there is no room for it.
     pub fn denied(self, answer: &ClaimAnswer) -> Option<Unclaimed> {
         let never = matches!(answer, ClaimAnswer::Mismatch | ClaimAnswer::Full);
         never.then_some(Unclaimed(()))
     }
 
-    /// Takes the grant. The state grants a key only while no attempt under it has run.
+    /// Returns the proof that the claim was granted. The replicated state grants a key only while
+    /// no attempt under it has run.
     pub fn granted(self, answer: &ClaimAnswer) -> Option<Granted> {
         matches!(answer, ClaimAnswer::Granted).then_some(Granted(()))
     }
@@ -192,128 +195,133 @@
 pub struct Granted(());
 
 impl Granted {
-    /// Takes the result of the claim's release.
+    /// Returns the proof that the claim was given up, if its release succeeded.
     pub fn released<E>(self, result: &Result<(), E>) -> Option<Unclaimed> {
         result.is_ok().then_some(Unclaimed(()))
     }
 }
 
-/// What is known of a request's calls.
+/// What is known about the calls of a request.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Calls that cannot be proven unsent.
+    /// The number of calls that are not proven unsent.
     calls: u32,
     /// Whether an upstream answered a call.
-    heard: bool,
-    /// Whether the non-repeatable call cannot be proven not to have run.
-    once: bool,
+    answered: bool,
+    /// Whether the non-repeatable call may have run.
+    once_sent: bool,
 }
 
 impl Progress {
-    /// Starts a request of which nothing was sent.
+    /// Creates the record of a request that has sent nothing.
     pub fn at_arrival() -> Self {
         Self::default()
     }
 
-    /// Notes that a call starts. To be called before its first byte can leave.
-    pub fn sending(&mut self, repeatable: bool) {
+    /// Records that a call starts. Must be called before its first byte can leave.
+    pub fn call_started(&mut self, repeatable: bool) {
         self.calls += 1;
-        self.once |= !repeatable;
+        self.once_sent |= !repeatable;
     }
 
-    /// Takes a call's evidence that it was never sent.
-    pub fn unsent(&mut self, repeatable: bool, _evidence: Unsent) {
+    /// Records that a call was never sent.
+    pub fn call_unsent(&mut self, repeatable: bool, _evidence: Unsent) {
         self.calls = self.calls.saturating_sub(1);
-        self.once &= repeatable;
+        self.once_sent &= repeatable;
     }
 
-    /// Takes the upstream's statement that it did not take the call. Bytes left, so the request is no
-    /// longer untouched, but the non-repeatable call did not run.
-    pub fn declined(&mut self, repeatable: bool, _evidence: &Declined) {
-        self.once &= repeatable;
+    /// Records that the upstream declined the call. Bytes left, so the proof that nothing was sent
+    /// is lost, but the non-repeatable call did not run.
+    pub fn call_declined(&mut self, repeatable: bool, _evidence: &Declined) {
+        self.once_sent &= repeatable;
     }
 
-    /// Notes that an upstream answered a call.
-    pub fn heard(&mut self) {
-        self.heard = true;
+    /// Records that an upstream answered a call.
+    pub fn upstream_answered(&mut self) {
+        self.answered = true;
     }
 
-    /// Tells whether the non-repeatable call may have run.
-    pub fn is_once_sent(&self) -> bool {
-        self.once
+    /// Returns whether the non-repeatable call may have run.
+    pub fn may_have_run_once(&self) -> bool {
+        self.once_sent
     }
 
-    /// Turns into the proof that nothing was sent, if that is so.
-    pub fn untouched(&self) -> Option<Untouched> {
-        (self.calls == 0).then_some(Untouched(()))
+    /// Returns the proof that nothing was sent, if nothing was.
+    pub fn nothing_sent(&self) -> Option<NothingSent> {
+        (self.calls == 0).then_some(NothingSent(()))
     }
 }
 
 /// How a request ended.
 #[derive(Clone, Debug)]
 pub enum Ending {
-    /// With its whole answer.
-    Complete(Arc<Whole>),
-    /// Without.
+    /// With a complete answer.
+    Complete(Arc<CompleteAnswer>),
+    /// Without one.
     Problem(Problem),
 }
 
-/// Any answer but a complete one.
+/// An answer that reports that a request is not complete.
 #[derive(Clone, Debug)]
 pub struct Problem {
     outcome: Outcome,
     status: u16,
-    halt: Halt,
+    error: RequestError,
 }
 
 impl Problem {
-    /// Says that nothing ran.
-    pub fn not_run(_sent: Untouched, _claim: Unclaimed, halt: Halt) -> Self {
-        let status = not_run_status(halt.reason);
-        Self { outcome: Outcome::NotRun, status, halt }
+    /// Reports that nothing ran.
+    pub fn not_run(_sent: NothingSent, _claim: Unclaimed, error: RequestError) -> Self {
+        let status = not_run_status(error.reason);
+        Self { outcome: Outcome::NotRun, status, error }
     }
 
-    /// Says that it may have run and that this attempt ends here.
-    pub fn unknown(halt: Halt) -> Self {
-        Self { outcome: Outcome::Unknown, status: 504, halt }
+    /// Reports that the request may have run, and that this attempt ends here.
+    pub fn unknown(error: RequestError) -> Self {
+        Self { outcome: Outcome::Unknown, status: 504, error }
     }
 
-    /// Says that it may have run and that the caller should come back for the answer.
-    pub fn under_way(halt: Halt) -> Self {
-        Self { outcome: Outcome::Unknown, status: 409, halt }
+    /// Reports that the request may have run, and that the caller should come back for the answer.
+    pub fn in_flight(error: RequestError) -> Self {
+        Self { outcome: Outcome::Unknown, status: 409, error }
     }
 
-    /// Says that it ran and ended in an error.
-    pub fn failed(halt: Halt) -> Self {
-        let status = if halt.reason == Reason::Deadline { 504 } else { 502 };
-        Self { outcome: Outcome::Failed, status, halt }
+    /// Reports that the request ran and failed.
+    pub fn failed(error: RequestError) -> Self {
+        let status = if error.reason == Reason::Deadline { 504 } else { 502 };
+        Self { outcome: Outcome::Failed, status, error }
     }
 
-    /// Says that this attempt did nothing, and that an earlier one under the same key may have run.
+    /// Reports that this attempt did nothing, and that an earlier one under the same key may have
+    /// run.
     ///
-    /// What goes wrong without it: the first attempt runs and its answer is lost; the resend reaches
-    /// an entry that is full, draining or without a quorum, and is refused as "not run". The caller
-    /// believes it and sends the booking under a new key.
-    pub fn unasked(_sent: Untouched, halt: Halt) -> Self {
-        let status = not_run_status(halt.reason);
-        Self { outcome: Outcome::Unknown, status, halt }
+    /// Without this case, a resend whose first answer was lost, and which reaches an entry that is
+    /// full, draining or without a quorum, would be refused as "not run". The caller would believe
+    /// that and send the same booking under a new key.
+    pub fn earlier_unknown(_sent: NothingSent, error: RequestError) -> Self {
+        let status = not_run_status(error.reason);
+        Self { outcome: Outcome::Unknown, status, error }
     }
 
-    /// Says what is true of a run that stopped.
-    pub fn of(progress: &Progress, unclaimed: Option<Unclaimed>, halt: Halt) -> Self {
-        match (progress.untouched(), unclaimed) {
-            (Some(proof), Some(unclaimed)) => Self::not_run(proof, unclaimed, halt),
-            (Some(proof), None) => Self::unasked(proof, halt),
-            (None, _) => Self::touched(progress, halt),
+    /// Reports what is known about a run that stopped.
+    pub fn from_progress(
+        progress: &Progress,
+        unclaimed: Option<Unclaimed>,
+        error: RequestError,
+    ) -> Self {
+        match (progress.nothing_sent(), unclaimed) {
+            (Some(proof), Some(unclaimed)) => Self::not_run(proof, unclaimed, error),
+            (Some(proof), None) => Self::earlier_unknown(proof, error),
+            (None, _) => Self::after_calls(progress, error),
         }
     }
 
-    /// Says what is true of a run that sent at least one call and stopped.
-    pub fn touched(progress: &Progress, halt: Halt) -> Self {
-        if progress.heard || halt.reason == Reason::Declined {
-            Self::failed(halt)
+    /// Reports what is known about a run that sent at least one call and stopped.
+    pub fn after_calls(progress: &Progress, error: RequestError) -> Self {
+        if progress.answered || error.reason == Reason::Declined {
+            Self::failed(error)
         } else {
-            Self::unknown(halt)
+            Self::unknown(error)
         }
     }
 
@@ -327,9 +335,9 @@
         self.status
     }
 
-    /// Returns why.
-    pub fn halt(&self) -> &Halt {
-        &self.halt
+    /// Returns the error behind the problem.
+    pub fn error(&self) -> &RequestError {
+        &self.error
     }
 }
 
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, checked.
+//! Checks and parses callers' requests.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,44 +14,44 @@
     RequestId, Stage, Tokens,
 };
 
-use crate::auth::View;
-use crate::outcome::{Halt, Reason};
+use crate::auth::ServiceView;
+use crate::outcome::{Reason, RequestError};
 
 const DEADLINE_HEADER: &str = "mothplank-deadline-ms";
 pub(crate) const KEY_HEADER: &str = "idempotency-key";
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// The tokens an engine may generate where neither caller nor stage says.
+/// The maximum number of generated tokens if neither caller nor stage sets one.
 const DEFAULT_TOKENS: Tokens = Tokens(256);
 
-/// A request that may run.
+/// A request that passed all checks.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) id: RequestId,
     pub(crate) arrived: Instant,
-    pub(crate) view: Arc<View>,
+    pub(crate) view: Arc<ServiceView>,
     pub(crate) ask: Ask,
     pub(crate) pipeline: Arc<Pipeline>,
     pub(crate) input: Box<RawValue>,
     pub(crate) key: Option<IdempotencyKey>,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) stream: bool,
-    /// When its claim was first asked for.
+    /// When its claim was first asked for, if it has one.
     pub(crate) claimed: Option<Instant>,
     max_tokens: Option<Tokens>,
 }
 
-/// The head of a request whose caller is known.
+/// The checked head of a request from an authenticated customer.
 #[derive(Debug)]
 pub(crate) struct Head {
     pub(crate) id: RequestId,
     pub(crate) arrived: Instant,
-    pub(crate) view: Arc<View>,
+    pub(crate) view: Arc<ServiceView>,
     pub(crate) customer: CustomerName,
     pub(crate) name: PipelineName,
     pipeline: Arc<Pipeline>,
     priority: Priority,
-    by: Instant,
+    deadline: Instant,
     key: Option<IdempotencyKey>,
     stream: bool,
 }
@@ -64,45 +64,46 @@
     max_tokens: Option<Tokens>,
 }
 
-fn bad(detail: impl Into<String>) -> Halt {
-    Halt::new(Reason::BadRequest, detail)
+fn bad(detail: impl Into<String>) -> RequestError {
+    RequestError::new(Reason::BadRequest, detail)
 }
 
 impl Head {
     /// Checks the head of a request against the service.
     pub(crate) fn check(
         arrived: Instant,
-        view: Arc<View>,
+        view: Arc<ServiceView>,
         customer: &CustomerName,
         name: &str,
         headers: &HeaderMap,
-    ) -> Result<Self, Halt> {
+    ) -> Result<Self, RequestError> {
         let service = view.service();
-        let no_pipeline = || Halt::new(Reason::NoPipeline, format!("no pipeline {name:?}"));
+        let no_pipeline = || RequestError::new(Reason::NoPipeline, format!("no pipeline {name:?}"));
         let name: PipelineName = name.parse().map_err(|_| no_pipeline())?;
         let pipeline = Arc::clone(view.pipeline(&name).ok_or_else(no_pipeline)?);
         let spec = service.customers.get(customer);
-        let spec = spec.ok_or_else(|| Halt::new(Reason::Unauthorized, "unknown customer"))?;
+        let spec =
+            spec.ok_or_else(|| RequestError::new(Reason::Unauthorized, "unknown customer"))?;
         if !spec.pipelines.contains(&name) {
             let detail = format!("customer {customer} may not use pipeline {name}");
-            return Err(Halt::new(Reason::Forbidden, detail));
+            return Err(RequestError::new(Reason::Forbidden, detail));
         }
         let budget = budget(headers, &pipeline)?;
         let key = key(headers, &pipeline)?;
         let accept = headers.get(header::ACCEPT).and_then(|it| it.to_str().ok());
         let stream = accept.is_some_and(|it| it.contains(EVENT_STREAM));
         let priority = pipeline.priority.unwrap_or(spec.priority);
-        let (id, by, customer) = (RequestId::random(), arrived + budget, customer.clone());
-        Ok(Self { id, arrived, view, customer, name, pipeline, priority, by, key, stream })
+        let (id, deadline, customer) = (RequestId::random(), arrived + budget, customer.clone());
+        Ok(Self { id, arrived, view, customer, name, pipeline, priority, deadline, key, stream })
     }
 
-    /// Tells whether the request runs at most once.
-    pub(crate) fn is_once(&self) -> bool {
-        is_once(&self.pipeline)
+    /// Returns whether the request may run at most once.
+    pub(crate) fn is_at_most_once(&self) -> bool {
+        is_at_most_once(&self.pipeline)
     }
 
-    /// Checks the body.
-    pub(crate) fn body(self, body: &Bytes) -> Result<Request, Halt> {
+    /// Parses the body and returns the complete request.
+    pub(crate) fn body(self, body: &Bytes) -> Result<Request, RequestError> {
         let parsed: Body = serde_json::from_slice(body).map_err(|e| {
             bad(format!("the body is not {{\"input\": .., \"max_tokens\": ..}}: {e}"))
         })?;
@@ -115,7 +116,7 @@
                 customer: self.customer,
                 pipeline: self.name,
                 priority: self.priority,
-                deadline: self.by,
+                deadline: self.deadline,
                 tokens: Tokens(0),
             },
             pipeline: self.pipeline,
@@ -135,23 +136,23 @@
 }
 
 impl Request {
-    /// Returns when the request must be answered.
-    pub(crate) fn by(&self) -> Instant {
+    /// Returns the deadline of the request.
+    pub(crate) fn deadline(&self) -> Instant {
         self.ask.deadline
     }
 
-    /// Returns what is left until `by`.
-    pub(crate) fn left(by: Instant) -> Duration {
-        by.saturating_duration_since(Instant::now())
+    /// Returns the time left until a deadline.
+    pub(crate) fn left(deadline: Instant) -> Duration {
+        deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Tells whether a stage is run by an engine.
+    /// Returns whether a model engine runs the stage.
     pub(crate) fn is_engine(&self, stage: &Stage) -> bool {
         let pool = self.view.service().pools.get(&stage.pool);
         pool.is_some_and(|it| it.kind == PoolKind::Generate)
     }
 
-    /// Returns the most tokens that a stage may generate.
+    /// Returns the maximum number of tokens that a stage may generate.
     pub(crate) fn tokens(&self, stage: &Stage) -> Tokens {
         match (stage.tokens, self.max_tokens) {
             (Some(most), Some(asked)) if asked.0 < most.0 => asked,
@@ -162,11 +163,11 @@
     }
 }
 
-fn is_once(pipeline: &Pipeline) -> bool {
+fn is_at_most_once(pipeline: &Pipeline) -> bool {
     pipeline.stages.iter().any(|it| !it.repeatable)
 }
 
-fn budget(headers: &HeaderMap, pipeline: &Pipeline) -> Result<Duration, Halt> {
+fn budget(headers: &HeaderMap, pipeline: &Pipeline) -> Result<Duration, RequestError> {
     let most: Duration = pipeline.deadline.into();
     let Some(value) = headers.get(DEADLINE_HEADER) else {
         return Ok(most);
@@ -176,13 +177,13 @@
     Ok(most.min(Duration::from_millis(asked)))
 }
 
-fn key(headers: &HeaderMap, pipeline: &Pipeline) -> Result<Option<IdempotencyKey>, Halt> {
+fn key(headers: &HeaderMap, pipeline: &Pipeline) -> Result<Option<IdempotencyKey>, RequestError> {
     let Some(value) = headers.get(KEY_HEADER) else {
-        if !is_once(pipeline) {
+        if !is_at_most_once(pipeline) {
             return Ok(None);
         }
         let detail = "the pipeline has a stage that is not repeatable: send an Idempotency-Key";
-        return Err(Halt::new(Reason::KeyMissing, detail));
+        return Err(RequestError::new(Reason::KeyMissing, detail));
     };
     let text = value.to_str().map_err(|_| bad("Idempotency-Key is not printable ASCII"))?;
     text.parse().map(Some).map_err(|e| bad(format!("Idempotency-Key: {e}")))
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,22 +1,22 @@
-//! A pipeline's run: its stages in their order, each with the output of the one before.
+//! Runs the stages of a pipeline in order, each with the output of the one before.
 
-use crate::answer::Whole;
+use crate::answer::CompleteAnswer;
 use crate::core::Core;
 use crate::generate;
-use crate::outcome::{Halt, Progress, Reason};
+use crate::outcome::{Progress, Reason, RequestError};
 use crate::request::Request;
 use crate::session::Session;
 use crate::sink::{NoSink, Sink};
 use crate::stage;
-use crate::step::{Done, Step};
+use crate::step::{StageResult, Step};
 
-/// Runs the pipeline. Tokens of the last stage go to `sink` as they come.
+/// Runs the pipeline and passes the tokens of the last stage to `sink` as they arrive.
 pub(crate) async fn run<S: Session, T: Sink>(
     core: &Core<S>,
     request: &Request,
     progress: &mut Progress,
     sink: &mut T,
-) -> Result<Whole, Halt> {
+) -> Result<CompleteAnswer, RequestError> {
     let count = request.pipeline.stages.len();
     let mut stages = Vec::with_capacity(count);
     let mut previous = None;
@@ -29,10 +29,10 @@
         } else {
             generate::run(&step, progress, &mut NoSink).await?
         };
-        let Done { output, line } = done;
-        stages.push(line);
+        let StageResult { output, summary } = done;
+        stages.push(summary);
         previous = Some(output);
     }
-    let no_stage = || Halt::new(Reason::NoPipeline, "the pipeline has no stage");
-    Ok(Whole { output: previous.ok_or_else(no_stage)?, stages })
+    let no_stage = || RequestError::new(Reason::NoPipeline, "the pipeline has no stage");
+    Ok(CompleteAnswer { output: previous.ok_or_else(no_stage)?, stages })
 }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -1,4 +1,4 @@
-//! From a checked request to its answer.
+//! Runs a checked request to its answer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,69 +11,75 @@
 
 use crate::answer::retry_after;
 use crate::claim;
+use crate::claim_table::ClaimLookup;
 use crate::core::Core;
-use crate::drain::UnderWay;
-use crate::join::{JoinKey, Running};
-use crate::once::Seat;
-use crate::outcome::{Asked, Ending, Halt, Problem, Progress, Reason, Unclaimed};
+use crate::drain::InFlightGuard;
+use crate::outcome::{ClaimRequested, Ending, Problem, Progress, Reason, RequestError, Unclaimed};
 use crate::reply::Reply;
 use crate::request::Request;
 use crate::run;
 use crate::session::Session;
+use crate::shared_run::{RunKey, SharedRun};
 use crate::sink::{EventSink, Item, NoSink};
 
-/// How long past its deadline a caller waits for a run's own outcome, which is more exact.
-const GRACE: Duration = Duration::from_millis(250);
+/// How long past its deadline a request waits for the outcome of its own run, which is more exact
+/// than a mere timeout.
+const OUTCOME_GRACE: Duration = Duration::from_millis(250);
 
-/// Events that wait for a slow caller before the run waits for it.
-const EVENTS: usize = 64;
+/// The capacity of the event queue to a slow caller. Once it is full, the run waits for the caller.
+const EVENT_QUEUE: usize = 64;
 
-/// The most tokens that wait for a slow caller of a run which does not wait for it; far beyond what
+/// The largest event queue, in tokens, of a run that does not wait for its caller; far beyond what
 /// an engine generates within any deadline.
-const TOKENS: u64 = 1 << 20;
+const MAX_QUEUED_TOKENS: u64 = 1 << 20;
 
-/// Starts a request and returns where its items come from.
+/// Starts a request and returns the receiver of its items.
 pub(crate) fn start<S: Session>(core: &Arc<Core<S>>, request: Request) -> mpsc::Receiver<Item> {
-    let keyed = request.key.is_some();
-    let room = if keyed { request.ask.tokens.0.min(TOKENS) as usize + 2 } else { EVENTS };
-    let (items, receiver) = mpsc::channel(room);
-    let under_way = UnderWay::begin(&core.drain);
+    let has_key = request.key.is_some();
+    let capacity = if has_key {
+        request.ask.tokens.0.min(MAX_QUEUED_TOKENS) as usize + 2
+    } else {
+        EVENT_QUEUE
+    };
+    let (items, receiver) = mpsc::channel(capacity);
+    let in_flight = InFlightGuard::begin(&core.drain);
     let task = serve(Arc::clone(core), request, items);
     core.runtime.spawn(async move {
         task.await;
-        drop(under_way);
+        drop(in_flight);
     });
     receiver
 }
 
 async fn serve<S: Session>(core: Arc<Core<S>>, request: Request, items: mpsc::Sender<Item>) {
     let customer = request.ask.customer.clone();
-    core.usage.arrived(&customer);
+    core.usage.request_arrived(&customer);
     let (id, arrived) = (request.id, request.arrived);
     let reply = if request.key.is_some() {
-        once(&core, request, &items).await
+        run_claimed(&core, request, &items).await
     } else if request.stream {
-        stream(&core, request, &items).await
+        run_streamed(&core, request, &items).await
     } else {
         select! {
-            reply = join(&core, request) => Some(reply),
-            // The caller left: leaving the run, which ends it unless others wait for it.
+            reply = run_coalesced(&core, request) => Some(reply),
+            // The caller left. Dropping its share of the run aborts the run unless other callers
+            // wait for it.
             () = items.closed() => None,
         }
     };
-    core.usage.ended(&customer);
+    core.usage.request_ended(&customer);
     let Some(reply) = reply else {
-        core.metrics.request("gone", Reason::CallerGone.as_str(), arrived.elapsed());
+        core.metrics.request_ended("gone", Reason::CallerGone.as_str(), arrived.elapsed());
         return;
     };
-    core.metrics.request(reply.outcome.as_str(), reply.reason, arrived.elapsed());
+    core.metrics.request_ended(reply.outcome.as_str(), reply.reason, arrived.elapsed());
     log_end(id, &customer, &reply);
-    // A caller that left has no use for it.
+    // Fails only if the caller left, in which case nobody needs the item.
     let _ = items.send(Item::Last(reply)).await;
 }
 
-/// Logs a request that ran and is not complete. Refusals are left to the metrics: there are as many
-/// as callers resend, and a line for each would cost more than the refusal.
+/// Logs a request that ran and did not complete. Refusals are only counted in the metrics: there
+/// are as many as callers resend, and a log line for each would cost more than the refusal itself.
 fn log_end(request: RequestId, customer: &CustomerName, reply: &Reply) {
     if !matches!(reply.outcome, Outcome::Unknown | Outcome::Failed) || reply.retry_after.is_some() {
         return;
@@ -83,12 +89,12 @@
         "the request is not complete");
 }
 
-fn admit<S: Session>(core: &Core<S>, request: &Request) -> Result<Admission, Halt> {
+fn admit<S: Session>(core: &Core<S>, request: &Request) -> Result<Admission, RequestError> {
     Ok(core.router.admit(&request.ask, Instant::now())?)
 }
 
-/// Runs a request that needs no claim, to its end.
-async fn alone<S: Session, T: crate::sink::Sink>(
+/// Admits and runs a request that needs no claim.
+async fn run_unclaimed<S: Session, T: crate::sink::Sink>(
     core: &Core<S>,
     request: &Request,
     sink: &mut T,
@@ -97,23 +103,23 @@
     let mut progress = Progress::at_arrival();
     let result = match admit(core, request) {
         Ok(_admission) => run::run(core, request, &mut progress, sink).await,
-        Err(halt) => Err(halt),
+        Err(error) => Err(error),
     };
     match result {
-        Ok(whole) => Ending::Complete(Arc::new(whole)),
-        Err(halt) => Ending::Problem(Problem::of(&progress, unclaimed, halt)),
+        Ok(complete) => Ending::Complete(Arc::new(complete)),
+        Err(error) => Ending::Problem(Problem::from_progress(&progress, unclaimed, error)),
     }
 }
 
-/// Streams a request that needs no claim; `None` where the caller left.
-async fn stream<S: Session>(
+/// Runs a request that needs no claim and streams its tokens. Returns `None` if the caller left.
+async fn run_streamed<S: Session>(
     core: &Core<S>,
     request: Request,
     items: &mpsc::Sender<Item>,
 ) -> Option<Reply> {
     let mut sink = EventSink::new(items.clone());
     let ending = select! {
-        ending = alone(core, &request, &mut sink) => ending,
+        ending = run_unclaimed(core, &request, &mut sink) => ending,
         () = items.closed() => return None,
     };
     if ending.reason() == Reason::CallerGone.as_str() {
@@ -122,104 +128,112 @@
     Some(Reply::new(&ending, request.id, request.arrived.elapsed()))
 }
 
-/// Runs a request that needs no claim, or joins the same one under way.
-async fn join<S: Session>(core: &Arc<Core<S>>, request: Request) -> Reply {
-    let (id, arrived, by) = (request.id, request.arrived, request.by());
-    let key = JoinKey { customer: request.ask.customer.clone(), fingerprint: request.fingerprint };
+/// Runs a request that needs no claim, or joins an identical run that is in flight.
+async fn run_coalesced<S: Session>(core: &Arc<Core<S>>, request: Request) -> Reply {
+    let (id, arrived, deadline) = (request.id, request.arrived, request.deadline());
+    let key = RunKey { customer: request.ask.customer.clone(), fingerprint: request.fingerprint };
     let request = Arc::new(request);
     loop {
-        let start = || running(core, &request, &key);
-        let (running, started) = core.joins.seat(&key, start);
-        let ending = timeout_at((by + GRACE).into(), running.ending()).await;
-        drop(running);
+        let start = || spawn_run(core, &request, &key);
+        let (run, started) = core.shared_runs.get_or_start(&key, start);
+        let ending = timeout_at((deadline + OUTCOME_GRACE).into(), run.ending()).await;
+        drop(run);
         let ending = match ending {
             Ok(Some(ending)) => ending,
-            // Its first caller left before this one came.
-            Ok(None) if !started && Instant::now() < by => continue,
-            Ok(None) => broken(),
-            Err(_) => late(),
+            // The caller that started the run left before this one joined.
+            Ok(None) if !started && Instant::now() < deadline => continue,
+            Ok(None) => run_aborted(),
+            Err(_) => deadline_passed(),
         };
         let shorter =
-            matches!(&ending, Ending::Problem(it) if it.halt().reason == Reason::Deadline);
-        if shorter && !started && Instant::now() < by {
+            matches!(&ending, Ending::Problem(it) if it.error().reason == Reason::Deadline);
+        if shorter && !started && Instant::now() < deadline {
             continue;
         }
         return Reply::new(&ending, id, arrived.elapsed());
     }
 }
 
-fn late() -> Ending {
+fn deadline_passed() -> Ending {
     let detail = "the deadline passed while the request was under way";
-    Ending::Problem(Problem::unknown(Halt::new(Reason::Deadline, detail)))
+    Ending::Problem(Problem::unknown(RequestError::new(Reason::Deadline, detail)))
 }
 
-fn broken() -> Ending {
+fn run_aborted() -> Ending {
     let detail = "the run broke off inside the entry";
-    Ending::Problem(Problem::unknown(Halt::new(Reason::CallLost, detail)))
+    Ending::Problem(Problem::unknown(RequestError::new(Reason::CallLost, detail)))
 }
 
-fn running<S: Session>(core: &Arc<Core<S>>, request: &Arc<Request>, key: &JoinKey) -> Running {
+fn spawn_run<S: Session>(core: &Arc<Core<S>>, request: &Arc<Request>, key: &RunKey) -> SharedRun {
     let (sender, ending) = watch::channel(None);
     let (core, request, key) = (Arc::clone(core), Arc::clone(request), key.clone());
     let runtime = core.runtime.clone();
     let task = runtime.spawn(async move {
-        let ending = alone(&core, &request, &mut NoSink).await;
+        let ending = run_unclaimed(&core, &request, &mut NoSink).await;
         sender.send_replace(Some(ending));
-        core.joins.forget(&key);
+        core.shared_runs.remove_finished(&key);
     });
-    Running::new(ending, task.abort_handle())
+    SharedRun::new(ending, task.abort_handle())
 }
 
-/// Runs a request under its key, or joins the same one under way. Returns `None` only for a
-/// request without a key.
-async fn once<S: Session>(
+/// Runs a request under its idempotency key, or joins the same request if it is in flight. Returns
+/// `None` only for a request without a key.
+async fn run_claimed<S: Session>(
     core: &Arc<Core<S>>,
     request: Request,
     items: &mpsc::Sender<Item>,
 ) -> Option<Reply> {
-    let (id, by) = (request.id, request.by());
+    let (id, deadline) = (request.id, request.deadline());
     let key = ClaimKey { customer: request.ask.customer.clone(), key: request.key.clone()? };
-    let mut reply = match core.once.seat(&key, request.fingerprint) {
-        Seat::Start(sender, reply) => {
+    let mut reply = match core.claims.lookup_or_insert(&key, request.fingerprint) {
+        ClaimLookup::Start(sender, reply) => {
             let events = request.stream.then(|| items.clone());
-            core.runtime.spawn(life(Arc::clone(core), request, key, (sender, events)));
+            core.runtime.spawn(claim_task(Arc::clone(core), request, key, (sender, events)));
             reply
         }
-        Seat::Join(reply) => reply,
-        Seat::Mismatch => {
+        ClaimLookup::Join(reply) => reply,
+        ClaimLookup::Mismatch => {
             let detail = "this Idempotency-Key is used with another body; send a new key";
-            let answer = Asked::now().denied(&ClaimAnswer::Mismatch);
-            let halt = Halt::new(Reason::KeyMismatch, detail);
-            let problem = Problem::of(&Progress::at_arrival(), answer, halt);
+            let answer = ClaimRequested::now().denied(&ClaimAnswer::Mismatch);
+            let error = RequestError::new(Reason::KeyMismatch, detail);
+            let problem = Problem::from_progress(&Progress::at_arrival(), answer, error);
             return Some(Reply::new(&Ending::Problem(problem), id, Duration::ZERO));
         }
-        Seat::Full => {
+        ClaimLookup::Full => {
             let reason = Reason::Refused(RefusalReason::NoQuorum);
-            let halt = Halt::new(reason, "too many claims wait for a quorum").after(retry_after());
-            return Some(Reply::refuse(halt, true, id));
+            let error = RequestError::new(reason, "too many claims wait for a quorum")
+                .retry_after(retry_after());
+            return Some(Reply::refuse(error, true, id));
         }
     };
-    let ended = timeout_at((by + GRACE).into(), reply.wait_for(Option::is_some)).await;
+    let ended =
+        timeout_at((deadline + OUTCOME_GRACE).into(), reply.wait_for(Option::is_some)).await;
     let ended = ended.ok().and_then(Result::ok).and_then(|it| it.clone());
-    Some(ended.unwrap_or_else(|| under_way(id)))
+    Some(ended.unwrap_or_else(|| still_running(id)))
 }
 
-fn under_way(id: RequestId) -> Reply {
+fn still_running(id: RequestId) -> Reply {
     let detail = "the request is still under way; send it again with the same key for its answer";
-    let halt = Halt::new(Reason::Running, detail).after(retry_after());
-    Reply::new(&Ending::Problem(Problem::under_way(halt)), id, Duration::ZERO)
+    let error = RequestError::new(Reason::Running, detail).retry_after(retry_after());
+    Reply::new(&Ending::Problem(Problem::in_flight(error)), id, Duration::ZERO)
 }
 
-type LifeEnd = (watch::Sender<Option<Reply>>, Option<mpsc::Sender<Item>>);
+type ClaimOutput = (watch::Sender<Option<Reply>>, Option<mpsc::Sender<Item>>);
 
-/// Lives a claim to its committed end. Nothing but the end of the process stops it.
-async fn life<S: Session>(core: Arc<Core<S>>, request: Request, key: ClaimKey, end: LifeEnd) {
-    let _under_way = UnderWay::begin(&core.drain);
+/// Runs a request until the end of its claim is committed. Only the end of the process stops this
+/// task.
+async fn claim_task<S: Session>(
+    core: Arc<Core<S>>,
+    request: Request,
+    key: ClaimKey,
+    end: ClaimOutput,
+) {
+    let _in_flight = InFlightGuard::begin(&core.drain);
     let (sender, events) = end;
     let reply = match admit(&core, &request) {
-        Ok(_admission) => claim::live(Arc::clone(&core), request, key.clone(), events).await,
-        Err(halt) => Reply::refuse(halt, true, request.id),
+        Ok(_admission) => claim::execute(Arc::clone(&core), request, key.clone(), events).await,
+        Err(error) => Reply::refuse(error, true, request.id),
     };
     sender.send_replace(Some(reply));
-    core.once.end(&key);
+    core.claims.remove(&key);
 }
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -1,5 +1,5 @@
-//! What an entry needs of its session with control. The follower is the one implementation that
-//! ships; tests have a small one of their own.
+//! The part of the session with control that an entry uses. `Follower` implements it; tests have
+//! their own implementation.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -14,43 +14,44 @@
     /// Returns the service in force, or `None` before the first.
     fn service(&self) -> Option<Arc<Snapshot>>;
 
-    /// Returns how old the knowledge is that this service is in force.
+    /// Returns how long ago a quorum confirmed that this service is in force, or `None` if none did
+    /// yet.
     fn age(&self, now: Instant) -> Option<Duration>;
 
-    /// Tells whether control cannot have declared this entry lost between `since` and `now`.
+    /// Returns whether control cannot have declared this entry lost between `since` and `now`.
     fn is_steady(&self, since: Instant, now: Instant) -> bool;
 
     /// Asks for a claim.
     fn claim(
         &self,
         request: ClaimRequest,
-        by: Instant,
+        deadline: Instant,
     ) -> impl Future<Output = Result<Claimed, ClaimError>> + Send;
 
-    /// Stores the answer of a claim.
+    /// Stores the answer of a claim and ends the claim.
     fn finish(
         &self,
         key: ClaimKey,
         proof: ClaimTicket,
         answer: StoredAnswer,
-        by: Instant,
+        deadline: Instant,
     ) -> impl Future<Output = Result<(), ClaimError>> + Send;
 
-    /// Gives up a claim whose call was never sent.
+    /// Releases a claim whose call was never sent.
     fn release(
         &self,
         key: ClaimKey,
         proof: ClaimTicket,
-        by: Instant,
+        deadline: Instant,
     ) -> impl Future<Output = Result<(), ClaimError>> + Send;
 
-    /// Reports use.
+    /// Reports usage.
     fn usage(&self, report: UsageReport);
 
     /// Reports calls in flight.
     fn load(&self, in_flight: &[(UpstreamName, u32)]);
 
-    /// Tells control that this entry drains.
+    /// Reports to control that this entry drains.
     fn draining(&self);
 }
 
@@ -70,9 +71,9 @@
     fn claim(
         &self,
         request: ClaimRequest,
-        by: Instant,
+        deadline: Instant,
     ) -> impl Future<Output = Result<Claimed, ClaimError>> + Send {
-        Follower::claim(self, request, by)
+        Follower::claim(self, request, deadline)
     }
 
     fn finish(
@@ -80,18 +81,18 @@
         key: ClaimKey,
         proof: ClaimTicket,
         answer: StoredAnswer,
-        by: Instant,
+        deadline: Instant,
     ) -> impl Future<Output = Result<(), ClaimError>> + Send {
-        Follower::finish(self, key, proof, answer, by)
+        Follower::finish(self, key, proof, answer, deadline)
     }
 
     fn release(
         &self,
         key: ClaimKey,
         proof: ClaimTicket,
-        by: Instant,
+        deadline: Instant,
     ) -> impl Future<Output = Result<(), ClaimError>> + Send {
-        Follower::release(self, key, proof, by)
+        Follower::release(self, key, proof, deadline)
     }
 
     fn usage(&self, report: UsageReport) {
--- a/crates/entry/src/sink.rs
+++ b/crates/entry/src/sink.rs
@@ -1,4 +1,4 @@
-//! Where tokens go as they come.
+//! Sinks for generated tokens.
 
 use std::future::Future;
 use std::time::Instant;
@@ -8,39 +8,44 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout_at;
 
-use crate::outcome::{Halt, Reason};
+use crate::outcome::{Reason, RequestError};
 use crate::reply::Reply;
 
-/// Where tokens go as they come.
+/// A receiver of generated tokens.
 pub(crate) trait Sink: Send {
     /// Passes a token on.
     fn token(
         &mut self,
         position: u64,
         text: &str,
-        by: Instant,
-    ) -> impl Future<Output = Result<(), Halt>> + Send;
+        deadline: Instant,
+    ) -> impl Future<Output = Result<(), RequestError>> + Send;
 }
 
-/// Drops tokens: the caller waits for the whole answer.
+/// Drops tokens, for a caller that waits for the complete answer.
 pub(crate) struct NoSink;
 
 impl Sink for NoSink {
-    async fn token(&mut self, _position: u64, _text: &str, _by: Instant) -> Result<(), Halt> {
+    async fn token(
+        &mut self,
+        _position: u64,
+        _text: &str,
+        _by: Instant,
+    ) -> Result<(), RequestError> {
         Ok(())
     }
 }
 
-/// What a streamed answer is made of: tokens, then the one last item.
+/// An item of a streamed answer: tokens, then exactly one last item.
 #[derive(Debug)]
 pub(crate) enum Item {
-    /// An event with a token.
+    /// A token, encoded as an event.
     Token(Bytes),
-    /// The whole answer, or the problem.
+    /// The complete answer, or the problem.
     Last(Reply),
 }
 
-/// Sends tokens to the caller as events.
+/// Sends tokens to the caller as events, and waits for a slow caller until the deadline.
 pub(crate) struct EventSink {
     events: mpsc::Sender<Item>,
 }
@@ -58,19 +63,24 @@
 }
 
 impl Sink for EventSink {
-    async fn token(&mut self, position: u64, text: &str, by: Instant) -> Result<(), Halt> {
+    async fn token(
+        &mut self,
+        position: u64,
+        text: &str,
+        deadline: Instant,
+    ) -> Result<(), RequestError> {
         let data = serde_json::to_vec(&Token { position, text }).unwrap_or_default();
         let sending = self.events.send(Item::Token(event("token", &data)));
-        match timeout_at(by.into(), sending).await {
+        match timeout_at(deadline.into(), sending).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) => Err(Halt::new(Reason::CallerGone, "the caller left")),
-            Err(_) => Err(Halt::new(Reason::Deadline, "the caller read too slowly")),
+            Ok(Err(_)) => Err(RequestError::new(Reason::CallerGone, "the caller left")),
+            Err(_) => Err(RequestError::new(Reason::Deadline, "the caller read too slowly")),
         }
     }
 }
 
-/// Sends tokens to a caller whose leaving must not end the run. The channel has room for every
-/// token, so nothing here waits for the caller.
+/// Sends tokens to a caller without waiting for it, so that the run goes on when the caller leaves.
+/// The channel has room for every token.
 pub(crate) struct DetachedSink {
     events: Option<mpsc::Sender<Item>>,
 }
@@ -82,7 +92,7 @@
 }
 
 impl Sink for DetachedSink {
-    async fn token(&mut self, position: u64, text: &str, _by: Instant) -> Result<(), Halt> {
+    async fn token(&mut self, position: u64, text: &str, _by: Instant) -> Result<(), RequestError> {
         if let Some(events) = &self.events {
             let data = serde_json::to_vec(&Token { position, text }).unwrap_or_default();
             if events.try_send(Item::Token(event("token", &data))).is_err() {
@@ -93,7 +103,7 @@
     }
 }
 
-/// Writes one event. JSON has no line breaks outside its escapes, so one data line holds it.
+/// Encodes one event. JSON has no line breaks outside its escapes, so it fits into one data line.
 pub(crate) fn event(name: &str, data: &[u8]) -> Bytes {
     let mut event = Vec::with_capacity(name.len() + data.len() + 16);
     event.extend_from_slice(b"event: ");
--- a/crates/entry/src/stage.rs
+++ b/crates/entry/src/stage.rs
@@ -1,4 +1,4 @@
-//! One stage that is answered whole, with retries and hedges.
+//! Runs a stage that returns its answer in one piece, with retries and hedged calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,59 +7,59 @@
 use types::{CallId, Tokens};
 use upstream::{CallError, StageCall, StageReply, Target};
 
-use crate::flight::Flight;
-use crate::hedge::{Raced, race};
-use crate::outcome::{Halt, Progress};
+use crate::call::InFlightCall;
+use crate::hedge::{RaceResult, race};
+use crate::outcome::{Progress, RequestError};
 use crate::request::Request;
 use crate::session::Session;
-use crate::step::{Done, Next, Step, Tries, Used};
+use crate::step::{Attempts, Retry, StageResult, Step, Used};
 
 /// Runs a stage to its result.
 pub(crate) async fn run<S: Session>(
     step: &Step<'_, S>,
     progress: &mut Progress,
-) -> Result<Done, Halt> {
-    let place = step.place().await?;
-    let mut tries = Tries::default();
+) -> Result<StageResult, RequestError> {
+    let slot = step.wait_for_slot().await?;
+    let mut attempts = Attempts::default();
     let mut fresh = !step.stage.repeatable;
-    let mut flight = Flight::begin(step, step.pick(&tries, None)?, &mut tries, progress);
+    let mut call = InFlightCall::begin(step, step.pick(&attempts, None)?, &mut attempts, progress);
     loop {
-        let start = |upstream, first_byte| call(step, upstream, first_byte, fresh);
-        let Raced { flight: mut used, result } =
-            race(step, flight, &mut tries, progress, start).await;
+        let start = |upstream, first_byte| send(step, upstream, first_byte, fresh);
+        let RaceResult { call: mut winner, result } =
+            race(step, call, &mut attempts, progress, start).await;
         let error = match result {
             Ok(reply) => {
-                step.ended(&place);
-                return Ok(done(step, used, reply, &tries, progress));
+                step.ended(&slot);
+                return Ok(stage_result(step, winner, reply, &attempts, progress));
             }
             Err(error) => error,
         };
         let reused = error.reused;
-        let fault = used.failed(error, false, progress);
-        (flight, fresh) = match step.next(&fault, reused, &mut tries, progress)? {
-            Next::Same => (used.again(&mut tries, progress), true),
-            Next::Other => {
-                let pick = step.pick_other(used, &fault, &mut tries, None)?;
-                (Flight::begin(step, pick, &mut tries, progress), !step.stage.repeatable)
+        let fault = winner.failed(error, false, progress);
+        (call, fresh) = match step.after_failure(&fault, reused, &mut attempts, progress)? {
+            Retry::Same => (winner.retried(&mut attempts, progress), true),
+            Retry::Other => {
+                let pick = step.pick_other(winner, &fault, &mut attempts, None)?;
+                (InFlightCall::begin(step, pick, &mut attempts, progress), !step.stage.repeatable)
             }
         };
     }
 }
 
-fn done<S: Session>(
+fn stage_result<S: Session>(
     step: &Step<'_, S>,
-    mut flight: Flight<'_, S>,
+    mut call: InFlightCall<'_, S>,
     reply: StageReply,
-    tries: &Tries,
+    attempts: &Attempts,
     progress: &mut Progress,
-) -> Done {
-    progress.heard();
+) -> StageResult {
+    progress.upstream_answered();
     let used = Used { total: reply.total, tokens: Tokens(0), busy: reply.busy };
-    flight.succeeded(reply.first_byte, used);
-    Done { output: reply.output, line: step.line(flight.upstream(), tries, used) }
+    call.succeeded(reply.first_byte, used);
+    StageResult { output: reply.output, summary: step.summary(call.upstream(), attempts, used) }
 }
 
-async fn call<S: Session>(
+async fn send<S: Session>(
     step: &Step<'_, S>,
     upstream: Arc<UpstreamView>,
     first_byte: Duration,
@@ -71,7 +71,7 @@
         request: request.id,
         stage: &step.stage.name,
         priority: request.ask.priority,
-        deadline_ms: Request::left(step.by).as_millis() as u64,
+        deadline_ms: Request::left(step.deadline).as_millis() as u64,
         input: &request.input,
         previous: step.previous,
         path: step.stage.path.as_deref(),
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -1,4 +1,4 @@
-//! What an entry says of itself.
+//! The status page of an entry.
 
 use std::time::Instant;
 
@@ -40,7 +40,7 @@
     why: String,
 }
 
-/// Returns why the balancer should send nothing here, if so.
+/// Returns why the load balancer should send nothing to this entry, or `None` if it is ready.
 pub(crate) fn not_ready<S: Session>(core: &Core<S>, now: Instant) -> Option<&'static str> {
     if core.drain.phase() != Phase::Serving {
         return Some("draining");
@@ -54,7 +54,7 @@
     (!fresh && policy.stale == Stale::Refuse).then_some("service not confirmed lately")
 }
 
-/// Writes the entry's state.
+/// Returns the entry's state as JSON.
 pub(crate) fn json<S: Session>(core: &Core<S>, now: Instant) -> Vec<u8> {
     let why = not_ready(core, now);
     let view = core.view.load();
@@ -62,29 +62,29 @@
     let status = Status {
         vm: &core.vm,
         owner: core.owner,
-        phase: phase(core.drain.phase()),
+        phase: phase_name(core.drain.phase()),
         ready: why.is_none(),
         why,
         version: view.as_ref().map(|it| it.service().version),
         age_ms: core.session.age(now).map(Millis::from),
-        under_way: core.drain.under_way(),
-        connections: core.peers.len(),
-        claims: core.once.len(),
+        under_way: core.drain.in_flight(),
+        connections: core.connections.len(),
+        claims: core.claims.len(),
         in_flight: in_flight.map(|(upstream, calls)| InFlight { upstream, calls }).collect(),
-        decisions: core.router.decisions().into_iter().map(|it| line(it, now)).collect(),
+        decisions: core.router.decisions().into_iter().map(|it| decision_line(it, now)).collect(),
     };
     serde_json::to_vec(&status).unwrap_or_default()
 }
 
-fn phase(phase: Phase) -> &'static str {
+fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Serving => "serving",
-        Phase::Noticed => "not-ready",
+        Phase::NotReady => "not-ready",
         Phase::Refusing => "refusing",
     }
 }
 
-fn line(decision: Decision, now: Instant) -> DecisionLine {
+fn decision_line(decision: Decision, now: Instant) -> DecisionLine {
     let Decision { at, what, subject, why } = decision;
     DecisionLine { ago_ms: now.saturating_duration_since(at).into(), what, subject, why }
 }
--- a/crates/entry/src/step.rs
+++ b/crates/entry/src/step.rs
@@ -1,5 +1,5 @@
-//! What every kind of stage needs while it runs: its place in the pool, the choice of an upstream,
-//! the account of each call.
+//! What all kinds of stages share while they run: the slot in the pool, the choice of an upstream,
+//! and the accounting of each call.
 
 use std::time::{Duration, Instant};
 
@@ -9,19 +9,19 @@
 use types::{Cost, Micros, RefusalReason, Stage, Tokens, UpstreamName};
 use upstream::{CallError, Fault, Limits, Sent};
 
-use crate::answer::{StageLine, millis, retry_after};
+use crate::answer::{StageSummary, millis, retry_after};
+use crate::call::InFlightCall;
 use crate::core::Core;
-use crate::flight::Flight;
-use crate::outcome::{Halt, Progress, Reason};
+use crate::outcome::{Progress, Reason, RequestError};
 use crate::request::Request;
 use crate::session::Session;
 use crate::usage::Account;
 
-/// The most calls of one stage that go to upstreams which were tried before.
-const CALLS: u32 = 4;
+/// Once a stage has made this many calls, it does not call an upstream again that it already tried.
+const MAX_REPEAT_CALLS: u32 = 4;
 
-/// How far past the deadline limits lie that the deadline comes before.
-const PAST: Duration = Duration::from_secs(1);
+/// How far past the deadline a limit is set that must not expire before the deadline.
+const BEYOND_DEADLINE: Duration = Duration::from_secs(1);
 
 /// One stage of one request.
 pub(crate) struct Step<'a, S> {
@@ -30,46 +30,46 @@
     index: usize,
     pub(crate) stage: &'a Stage,
     pub(crate) previous: Option<&'a RawValue>,
-    /// When the stage must have ended.
-    pub(crate) by: Instant,
-    /// When it began, its queue included.
+    /// The deadline of the stage.
+    pub(crate) deadline: Instant,
+    /// When the stage began, its queue included.
     pub(crate) began: Instant,
 }
 
-/// A stage's place in its pool's work, given back when dropped.
-pub(crate) struct Place {
+/// A stage's slot in its pool, released on drop.
+pub(crate) struct PoolSlot {
     _slot: Slot,
-    since: Instant,
+    taken_at: Instant,
 }
 
-impl Place {
-    fn taken(slot: Slot) -> Self {
-        Self { _slot: slot, since: Instant::now() }
+impl PoolSlot {
+    fn new(slot: Slot) -> Self {
+        Self { _slot: slot, taken_at: Instant::now() }
     }
 }
 
 /// A stage's result.
 #[derive(Debug)]
-pub(crate) struct Done {
+pub(crate) struct StageResult {
     pub(crate) output: Box<RawValue>,
-    pub(crate) line: StageLine,
+    pub(crate) summary: StageSummary,
 }
 
-/// What to do after a failed call.
+/// Which upstream to call after a failed call.
 #[derive(Debug)]
-pub(crate) enum Next {
-    /// Call the same upstream again over a new connection.
+pub(crate) enum Retry {
+    /// The same upstream, over a new connection.
     Same,
-    /// Call another.
+    /// Another upstream.
     Other,
 }
 
-/// The upstreams that a stage tried, and how often.
+/// The upstreams that a stage has tried and the number of its calls.
 #[derive(Debug, Default)]
-pub(crate) struct Tries {
+pub(crate) struct Attempts {
     pub(crate) tried: Vec<UpstreamName>,
     pub(crate) calls: u32,
-    same: u32,
+    reconnects: u32,
 }
 
 impl<'a, S: Session> Step<'a, S> {
@@ -80,52 +80,59 @@
         previous: Option<&'a RawValue>,
     ) -> Self {
         let began = Instant::now();
-        let by = core.router.stage_deadline(&request.ask, index, began).min(request.by());
+        let deadline =
+            core.router.stage_deadline(&request.ask, index, began).min(request.deadline());
         let stage = &request.pipeline.stages[index];
-        Self { core, request, index, stage, previous, by, began }
+        Self { core, request, index, stage, previous, deadline, began }
     }
 
-    /// Waits for a place in the pool's work.
-    pub(crate) async fn place(&self) -> Result<Place, Halt> {
-        let turn = self.core.router.enter(&self.stage.pool, &self.request.ask, self.by, self.began);
+    /// Waits for a slot in the pool.
+    pub(crate) async fn wait_for_slot(&self) -> Result<PoolSlot, RequestError> {
+        let turn =
+            self.core.router.enter(&self.stage.pool, &self.request.ask, self.deadline, self.began);
         let waiting = match turn {
-            Turn::Go(slot) => return Ok(Place::taken(slot)),
+            Turn::Go(slot) => return Ok(PoolSlot::new(slot)),
             Turn::Refused(refusal) => return Err(refusal.into()),
             Turn::Wait(waiting) => waiting,
         };
-        match timeout_at(self.by.into(), waiting).await {
-            Ok(Ok(Ok(slot))) => Ok(Place::taken(slot)),
+        match timeout_at(self.deadline.into(), waiting).await {
+            Ok(Ok(Ok(slot))) => Ok(PoolSlot::new(slot)),
             Ok(Ok(Err(refusal))) => Err(refusal.into()),
-            Ok(Err(_)) | Err(_) => Err(self.late("waiting for its turn")),
+            Ok(Err(_)) | Err(_) => Err(self.deadline_passed("waiting for its turn")),
         }
     }
 
-    /// Notes how long the stage took from its place on. The queue is left out: it is the pool's
-    /// backlog, which admission counts apart.
-    pub(crate) fn ended(&self, place: &Place) {
-        let took = place.since.elapsed();
+    /// Records how long the stage took once it had its slot. The time in the queue is left out: it
+    /// is the pool's backlog, which admission accounts for separately.
+    pub(crate) fn ended(&self, slot: &PoolSlot) {
+        let took = slot.taken_at.elapsed();
         self.core.router.stage_ended(&self.request.ask, self.index, took, Instant::now());
     }
 
     /// Chooses an upstream.
-    pub(crate) fn pick(&self, tries: &Tries, prefix: Option<u64>) -> Result<Pick, Halt> {
+    pub(crate) fn pick(
+        &self,
+        attempts: &Attempts,
+        prefix: Option<u64>,
+    ) -> Result<Pick, RequestError> {
         let now = Instant::now();
-        let left = self.by.saturating_duration_since(now);
+        let left = self.deadline.saturating_duration_since(now);
         if left.is_zero() {
-            return Err(self.late("before it was called"));
+            return Err(self.deadline_passed("before it was called"));
         }
         self.check_claim(now)?;
-        let ask = PickAsk { pool: &self.stage.pool, prefix, exclude: &tries.tried, left };
+        let ask = PickAsk { pool: &self.stage.pool, prefix, exclude: &attempts.tried, left };
         Ok(self.core.router.pick(&ask, now, &mut rand::rng())?)
     }
 
-    /// Checks, before a call that may not be repeated, that its claim must still stand.
+    /// Checks before a call that may not be repeated that its claim must still be held.
     ///
-    /// What goes wrong without it: this process is frozen, or cut off from control, while an
-    /// earlier stage runs. Control declares it lost, a resend is told `owner-lost`, its caller asks
-    /// the service, finds nothing and sends a new key. Then this process goes on and sends the call
-    /// of the old one. A session that is fresh again does not show it; the gap in it does.
-    fn check_claim(&self, now: Instant) -> Result<(), Halt> {
+    /// While an earlier stage runs, this process can be frozen or cut off from control. Control
+    /// then declares it lost; a resend is told `owner-lost`, and its caller asks the service, finds
+    /// nothing and sends a new key. If this process then resumed and sent its call, the work would
+    /// run twice. A session that is fresh again does not reveal the interruption, so the check
+    /// looks for a gap since the claim.
+    fn check_claim(&self, now: Instant) -> Result<(), RequestError> {
         let Some(since) = self.request.claimed.filter(|_| !self.stage.repeatable) else {
             return Ok(());
         };
@@ -133,59 +140,61 @@
             return Ok(());
         }
         let detail = "the session with control was interrupted after the request was claimed";
-        Err(Halt::new(Reason::Refused(RefusalReason::StaleService), detail).after(retry_after()))
+        Err(RequestError::new(Reason::Refused(RefusalReason::StaleService), detail)
+            .retry_after(retry_after()))
     }
 
-    /// Chooses another upstream after a failed call. Where all were tried and the last one is there
-    /// and takes work, it may be tried again: a pool of one must not fail at the first cut.
+    /// Chooses another upstream after a failed call. If all were tried, and the last one was
+    /// reachable and did not refuse the work, any of them may be called again: a pool with one
+    /// upstream must not fail at the first cut connection.
     pub(crate) fn pick_other(
         &self,
-        failed: Flight<'_, S>,
+        failed: InFlightCall<'_, S>,
         fault: &Fault,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         prefix: Option<u64>,
-    ) -> Result<Pick, Halt> {
-        tries.tried.push(failed.upstream().name.clone());
+    ) -> Result<Pick, RequestError> {
+        attempts.tried.push(failed.upstream().name.clone());
         drop(failed);
-        let halt = match self.pick(tries, prefix) {
-            Err(halt) if halt.reason == Reason::Refused(RefusalReason::NoUpstream) => halt,
+        let error = match self.pick(attempts, prefix) {
+            Err(error) if error.reason == Reason::Refused(RefusalReason::NoUpstream) => error,
             result => return result,
         };
         let absent = matches!(fault, Fault::Connect(_) | Fault::Busy(_) | Fault::Leaving);
-        if !absent && self.stage.repeatable && tries.calls < CALLS {
-            tries.tried.clear();
-            return self.pick(tries, prefix);
+        if !absent && self.stage.repeatable && attempts.calls < MAX_REPEAT_CALLS {
+            attempts.tried.clear();
+            return self.pick(attempts, prefix);
         }
-        let spent = self.spent(fault);
-        Err(Halt { retry_after: halt.retry_after, ..spent })
+        let exhausted = self.exhausted(fault);
+        Err(RequestError { retry_after: error.retry_after, ..exhausted })
     }
 
     /// Returns the limits of a call to a picked upstream.
     ///
-    /// A call that may not be repeated has until the deadline. What goes wrong with a shorter limit:
-    /// a service that takes longer than usual, and then answers, is given up, nobody may call it
-    /// again, and the caller is told `unknown` for good. Its connection is new, so a silent one is
-    /// no reason either.
+    /// A call that may not be repeated has until the deadline. With a shorter limit, a service that
+    /// takes longer than usual would be given up before it answers, nothing may call it again, and
+    /// the caller would get `unknown` for good. Its connection is new, so a silent kept connection
+    /// cannot be the cause of the wait either.
     pub(crate) fn limits(&self, first_byte: Duration) -> Limits {
-        let limits = Limits::new(self.by, first_byte);
+        let limits = Limits::new(self.deadline, first_byte);
         if self.stage.repeatable {
             return limits;
         }
-        let left = Request::left(self.by) + PAST;
+        let left = Request::left(self.deadline) + BEYOND_DEADLINE;
         Limits { first_byte: left, idle: left, ..limits }
     }
 
-    /// Notes a call that gave its result.
+    /// Records a call that succeeded.
     pub(crate) fn succeeded(&self, pick: &Pick, first_byte: Duration, used: Used) {
         let Used { total, tokens, busy } = used;
         let end = CallEnd::Ok { first_byte, total, tokens };
         self.core.router.ended(pick, end, Instant::now());
         self.core.router.charge(&self.request.ask.customer, tokens, Instant::now());
-        self.core.metrics.used(&self.stage.pool, total);
-        self.core.usage.used(&self.account(), busy, tokens);
+        self.core.metrics.call_used(&self.stage.pool, total);
+        self.core.usage.call_used(&self.account(), busy, tokens);
     }
 
-    /// Notes a call that failed, and keeps its evidence.
+    /// Records a call that failed and keeps its evidence of whether it was sent.
     pub(crate) fn failed(
         &self,
         upstream: &Pick,
@@ -195,92 +204,96 @@
     ) -> Fault {
         let (request, step) = (self.request.id, &self.stage.name);
         let peer = &upstream.upstream.name;
-        log::debug!(request:% = request, step:% = step, peer:% = peer; "a call failed: {error}");
+        log::debug!(request:% = request, step:% = step, peer:% = peer;
+            "call to an upstream failed: {error}");
         let CallError { fault, sent, .. } = error;
-        let (end, word) = call_end(&fault);
+        let (end, label) = call_end(&fault);
         self.core.router.ended(upstream, end, Instant::now());
-        self.core.metrics.call(&self.stage.pool, word);
+        self.core.metrics.call_ended(&self.stage.pool, label);
         let repeatable = self.stage.repeatable;
         match sent {
-            Sent::No(evidence) => progress.unsent(repeatable, evidence),
-            Sent::Declined(evidence) => progress.declined(repeatable, &evidence),
+            Sent::No(evidence) => progress.call_unsent(repeatable, evidence),
+            Sent::Declined(evidence) => progress.call_declined(repeatable, &evidence),
             Sent::Maybe => {
                 if let Some(time) = waste {
-                    self.core.usage.wasted(&self.account(), time);
+                    self.core.usage.call_wasted(&self.account(), time);
                 }
                 if matches!(fault, Fault::Status(..)) {
-                    progress.heard();
+                    progress.upstream_answered();
                 }
             }
         }
         fault
     }
 
-    /// Notes a call whose result nobody waits for any more.
+    /// Records a call whose result is no longer needed.
     pub(crate) fn abandoned(&self, pick: &Pick, time: Duration) {
         self.core.router.ended(pick, CallEnd::Abandoned, Instant::now());
-        self.core.metrics.call(&self.stage.pool, "abandoned");
-        self.core.usage.wasted(&self.account(), time);
+        self.core.metrics.call_ended(&self.stage.pool, "abandoned");
+        self.core.usage.call_wasted(&self.account(), time);
     }
 
     /// Decides what follows a failed call.
     ///
-    /// A call that may have run is repeated only where the stage is repeatable. One that never left,
-    /// or met an upstream that is leaving, costs the pool nothing and takes nothing from the retry
-    /// budget; neither does the first one on a kept connection that turned out closed or silent, for
-    /// that says nothing of the upstream.
-    pub(crate) fn next(
+    /// A call that may have run is repeated only if the stage is repeatable. A call that was never
+    /// sent, or that met an upstream that is leaving, costs the pool nothing and takes nothing from
+    /// the retry budget. Neither does the first call on a kept connection that turned out closed or
+    /// silent, because that says nothing about the upstream.
+    pub(crate) fn after_failure(
         &self,
         fault: &Fault,
         reused: bool,
-        tries: &mut Tries,
+        attempts: &mut Attempts,
         progress: &Progress,
-    ) -> Result<Next, Halt> {
-        if !self.stage.repeatable && progress.is_once_sent() {
-            return Err(self.lost(fault));
+    ) -> Result<Retry, RequestError> {
+        if !self.stage.repeatable && progress.may_have_run_once() {
+            return Err(self.call_lost(fault));
         }
         if *fault == Fault::Deadline {
-            return Err(self.late("while it was called"));
+            return Err(self.deadline_passed("while it was called"));
         }
         let connection = matches!(fault, Fault::Stale | Fault::Silent);
-        if connection && reused && tries.same == 0 {
-            tries.same += 1;
-            self.core.metrics.extra(&self.stage.pool, "reconnect");
-            return Ok(Next::Same);
+        if connection && reused && attempts.reconnects == 0 {
+            attempts.reconnects += 1;
+            self.core.metrics.extra_call(&self.stage.pool, "reconnect");
+            return Ok(Retry::Same);
         }
         if !matches!(fault, Fault::Connect(_) | Fault::Leaving) {
-            let left = self.by.saturating_duration_since(Instant::now());
+            let left = self.deadline.saturating_duration_since(Instant::now());
             let allowed = self.core.router.may_retry(&self.stage.pool, left, Instant::now());
-            allowed.map_err(|refusal| self.spent(fault).after(refusal.retry_after))?;
+            allowed.map_err(|refusal| self.exhausted(fault).retry_after(refusal.retry_after))?;
         }
-        self.core.metrics.extra(&self.stage.pool, "retry");
-        Ok(Next::Other)
+        self.core.metrics.extra_call(&self.stage.pool, "retry");
+        Ok(Retry::Other)
     }
 
-    fn spent(&self, fault: &Fault) -> Halt {
+    fn exhausted(&self, fault: &Fault) -> RequestError {
         let reason = match fault {
             Fault::Busy(_) | Fault::Leaving => Reason::Declined,
             Fault::Connect(_) => Reason::Refused(RefusalReason::NoUpstream),
             _ => Reason::Upstream,
         };
-        Halt::new(reason, format!("stage {}: {fault}; no other try is left", self.stage.name))
+        RequestError::new(
+            reason,
+            format!("stage {}: {fault}; no other try is left", self.stage.name),
+        )
     }
 
-    /// Says that the non-repeatable call left and has no answer.
-    fn lost(&self, fault: &Fault) -> Halt {
+    /// Returns the error for a non-repeatable call that was sent and has no answer.
+    fn call_lost(&self, fault: &Fault) -> RequestError {
         let reason = match fault {
             Fault::Status(..) => Reason::Upstream,
             _ => Reason::CallLost,
         };
-        Halt::new(
+        RequestError::new(
             reason,
             format!("stage {} is not repeatable and was called: {fault}", self.stage.name),
         )
     }
 
-    pub(crate) fn late(&self, when: &str) -> Halt {
+    pub(crate) fn deadline_passed(&self, when: &str) -> RequestError {
         let detail = format!("the deadline of stage {} passed {when}", self.stage.name);
-        Halt::new(Reason::Deadline, detail)
+        RequestError::new(Reason::Deadline, detail)
     }
 
     pub(crate) fn account(&self) -> Account<'_> {
@@ -288,14 +301,19 @@
         Account { customer: &self.request.ask.customer, stage, pool }
     }
 
-    /// Makes the stage's line in the answer.
-    pub(crate) fn line(&self, upstream: &UpstreamView, tries: &Tries, used: Used) -> StageLine {
+    /// Returns the stage's entry in the answer.
+    pub(crate) fn summary(
+        &self,
+        upstream: &UpstreamView,
+        attempts: &Attempts,
+        used: Used,
+    ) -> StageSummary {
         let pool = self.request.view.service().pools.get(&self.stage.pool);
         let rate = pool.map_or(0.0, |it| it.cost.0);
-        StageLine {
+        StageSummary {
             stage: self.stage.name.clone(),
             upstream: upstream.name.clone(),
-            attempts: tries.calls,
+            attempts: attempts.calls,
             ms: millis(self.began.elapsed()),
             busy_us: used.busy,
             tokens: used.tokens,
@@ -304,7 +322,7 @@
     }
 }
 
-/// What a call used.
+/// The resources that a call used.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Used {
     pub(crate) total: Duration,
@@ -312,7 +330,7 @@
     pub(crate) busy: Micros,
 }
 
-/// Returns how a fault counts for its upstream, and its word in the metrics.
+/// Returns how a fault counts for its upstream, and its label in the metrics.
 fn call_end(fault: &Fault) -> (CallEnd, &'static str) {
     match fault {
         Fault::Connect(_) => (CallEnd::Refused, "refused"),
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -1,4 +1,4 @@
-//! A streamed answer: tokens, then exactly one `end` or `error` event.
+//! The body of a streamed answer: tokens, then exactly one `end` or `error` event.
 
 use std::io;
 use std::pin::Pin;
@@ -9,24 +9,24 @@
 use types::Outcome;
 use xitca_web::body::{Body, Frame};
 
-use crate::front::Held;
+use crate::handlers::RequestGuards;
 use crate::sink::{Item, event};
 
 /// The body of a streamed answer.
 ///
-/// Where the run breaks off without its last item, or the body is dropped before it, the connection
-/// is closed without the last chunk: a caller must not take such a stream for whole.
+/// If the run stops without its last item, or the body is dropped before it, the connection is
+/// closed without the final chunk, so that a caller cannot take a cut stream for a complete one.
 #[derive(Debug)]
 pub(crate) struct EventBody {
     first: Option<Item>,
     items: mpsc::Receiver<Item>,
-    held: Held,
+    guards: RequestGuards,
     ended: bool,
 }
 
 impl EventBody {
-    pub(crate) fn new(first: Item, items: mpsc::Receiver<Item>, held: Held) -> Self {
-        Self { first: Some(first), items, held, ended: false }
+    pub(crate) fn new(first: Item, items: mpsc::Receiver<Item>, guards: RequestGuards) -> Self {
+        Self { first: Some(first), items, guards, ended: false }
     }
 
     fn write(&mut self, item: Item) -> Bytes {
@@ -56,9 +56,10 @@
             Some(first) => Some(first),
             None => match self.items.poll_recv(cx) {
                 Poll::Ready(item) => item,
-                // Dropping this body is what ends the run: see `Peers` for why it is asked here.
+                // The error ends the run by dropping this body. `Connections` explains why the
+                // caller's connection is polled here.
                 Poll::Pending => {
-                    ready!(self.held.busy.poll_closed(cx));
+                    ready!(self.guards.connection.poll_closed(cx));
                     None
                 }
             },
@@ -76,7 +77,7 @@
 impl Drop for EventBody {
     fn drop(&mut self) {
         if !self.ended {
-            self.held.busy.cut();
+            self.guards.connection.cut();
         }
     }
 }
--- a/crates/entry/src/tasks.rs
+++ b/crates/entry/src/tasks.rs
@@ -1,5 +1,5 @@
-//! What an entry does beside its requests: takes events from control, reports use and load, lets
-//! the router see time pass.
+//! Background tasks of an entry: apply events from control, report usage and load, and drive the
+//! router's timers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,21 +11,21 @@
 use types::CustomerLimits;
 use wire::session::CustomerShare;
 
-use crate::auth::View;
+use crate::auth::ServiceView;
 use crate::core::Core;
 use crate::session::Session;
 
-/// How often the router refuses queued work whose time no longer suffices.
-const TICK: Duration = Duration::from_millis(5);
+/// How often the router refuses queued work that can no longer meet its deadline.
+const QUEUE_CHECK_PERIOD: Duration = Duration::from_millis(5);
 
 /// How often calls in flight are reported.
-const LOAD: Duration = Duration::from_millis(150);
+const LOAD_REPORT_PERIOD: Duration = Duration::from_millis(150);
 
-/// How often use is reported.
-const USAGE: Duration = Duration::from_secs(1);
+/// How often usage is reported.
+const USAGE_REPORT_PERIOD: Duration = Duration::from_secs(1);
 
-/// How often connections and runs that are over are forgotten.
-const SWEEP: Duration = Duration::from_millis(250);
+/// How often closed connections and abandoned runs are removed.
+const SWEEP_PERIOD: Duration = Duration::from_millis(250);
 
 pub(crate) fn spawn<S: Session>(
     core: &Arc<Core<S>>,
@@ -35,20 +35,20 @@
         install(core, snapshot);
     }
     vec![
-        core.runtime.spawn(follow(Arc::clone(core), events)),
-        every(core, TICK, |core| core.router.tick(Instant::now())),
-        every(core, LOAD, |core| core.session.load(&core.router.in_flight())),
-        every(core, USAGE, last_report),
-        every(core, SWEEP, |core| {
-            core.peers.sweep();
-            core.joins.sweep();
+        core.runtime.spawn(handle_events(Arc::clone(core), events)),
+        every(core, QUEUE_CHECK_PERIOD, |core| core.router.tick(Instant::now())),
+        every(core, LOAD_REPORT_PERIOD, |core| core.session.load(&core.router.in_flight())),
+        every(core, USAGE_REPORT_PERIOD, report_usage),
+        every(core, SWEEP_PERIOD, |core| {
+            core.connections.sweep();
+            core.shared_runs.remove_abandoned();
         }),
     ]
 }
 
-/// Reports what was used since the last report.
-pub(crate) fn last_report<S: Session>(core: &Arc<Core<S>>) {
-    core.session.usage(core.usage.report(Instant::now()));
+/// Reports the usage since the last report.
+pub(crate) fn report_usage<S: Session>(core: &Arc<Core<S>>) {
+    core.session.usage(core.usage.take_report(Instant::now()));
 }
 
 fn every<S: Session>(
@@ -68,18 +68,20 @@
     })
 }
 
-async fn follow<S: Session>(core: Arc<Core<S>>, mut events: mpsc::Receiver<Event>) {
+async fn handle_events<S: Session>(core: Arc<Core<S>>, mut events: mpsc::Receiver<Event>) {
     while let Some(event) = events.recv().await {
         match event {
             Event::Service(snapshot) => install(&core, snapshot),
             Event::Digest(digest) => core.router.digest(&digest, Instant::now()),
-            Event::Shares(shares) => shares.into_iter().for_each(|share| take(&core, share)),
+            Event::Shares(shares) => shares.into_iter().for_each(|share| apply_share(&core, share)),
         }
     }
-    log::info!("the session with control has ended");
+    log::info!(
+        "session with control has ended: no more service versions, digests or shares arrive"
+    );
 }
 
-/// Puts a version in force. An older one than that in force is ignored.
+/// Puts a service version in force, unless the current one is as new.
 fn install<S: Session>(core: &Core<S>, snapshot: Arc<Snapshot>) {
     let version = snapshot.service.version;
     let current = core.view.load().as_ref().map(|it| it.service().version);
@@ -87,7 +89,7 @@
         return;
     }
     core.router.install(&snapshot.service, Instant::now());
-    let view = Arc::new(View::new(snapshot));
+    let view = Arc::new(ServiceView::new(snapshot));
     let pools = view.service().pools.values();
     let known: std::collections::HashSet<_> =
         pools.flat_map(|it| it.upstreams.values()).map(|it| it.address).collect();
@@ -96,7 +98,7 @@
     log::info!(version:% = version; "service in force");
 }
 
-fn take<S: Session>(core: &Core<S>, share: CustomerShare) {
+fn apply_share<S: Session>(core: &Core<S>, share: CustomerShare) {
     let CustomerShare { customer, rate, concurrency, tokens } = share;
     core.router.shares(&customer, &CustomerLimits { rate, concurrency, tokens });
 }
--- a/crates/entry/src/usage.rs
+++ b/crates/entry/src/usage.rs
@@ -1,5 +1,5 @@
-//! Use by customer and stage, for control's reports. What was spent on results that nobody used is
-//! kept apart.
+//! Sums up usage by customer and stage for the reports to control. Work on results that nobody used
+//! is kept apart.
 
 use std::collections::HashMap;
 use std::mem;
@@ -30,17 +30,17 @@
 struct CustomerSum {
     requests: u32,
     running: u32,
-    most: u32,
+    peak: u32,
     tokens: u64,
 }
 
-/// Sums since the last report.
+/// The usage since the last report.
 #[derive(Debug, Default)]
 pub(crate) struct Usage {
     sums: Mutex<Sums>,
 }
 
-/// Whose call is counted.
+/// The customer, stage and pool that a call is accounted to.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Account<'a> {
     pub(crate) customer: &'a CustomerName,
@@ -59,17 +59,17 @@
         self.sums.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a request that arrived, refused ones included.
-    pub(crate) fn arrived(&self, customer: &CustomerName) {
+    /// Counts a request that arrived, including those that are refused.
+    pub(crate) fn request_arrived(&self, customer: &CustomerName) {
         let mut sums = self.lock();
         let sum = sums.customers.entry(customer.clone()).or_default();
         sum.requests += 1;
         sum.running += 1;
-        sum.most = sum.most.max(sum.running);
+        sum.peak = sum.peak.max(sum.running);
     }
 
     /// Counts a request that ended.
-    pub(crate) fn ended(&self, customer: &CustomerName) {
+    pub(crate) fn request_ended(&self, customer: &CustomerName) {
         let mut sums = self.lock();
         if let Some(sum) = sums.customers.get_mut(customer) {
             sum.running = sum.running.saturating_sub(1);
@@ -77,7 +77,7 @@
     }
 
     /// Counts a call whose result was used.
-    pub(crate) fn used(&self, account: &Account<'_>, busy: Micros, tokens: Tokens) {
+    pub(crate) fn call_used(&self, account: &Account<'_>, busy: Micros, tokens: Tokens) {
         let mut sums = self.lock();
         let sum = sums.stages.entry(account.key()).or_default();
         sum.calls += 1;
@@ -88,22 +88,22 @@
         }
     }
 
-    /// Counts a call whose result was not used. The upstream never says how long it was busy with
-    /// it, so the time that the call was under way stands for it: an upper bound.
-    pub(crate) fn wasted(&self, account: &Account<'_>, time: Duration) {
+    /// Counts a call whose result was not used. The upstream does not report how long it was busy
+    /// with it, so the duration of the call is counted, an upper bound.
+    pub(crate) fn call_wasted(&self, account: &Account<'_>, time: Duration) {
         let mut sums = self.lock();
         sums.stages.entry(account.key()).or_default().wasted += time.as_micros() as u64;
     }
 
-    /// Takes the sums since the last report.
-    pub(crate) fn report(&self, now: Instant) -> UsageReport {
+    /// Returns the usage since the last report and resets it.
+    pub(crate) fn take_report(&self, now: Instant) -> UsageReport {
         let mut sums = self.lock();
         let since = sums.since.replace(now).unwrap_or(now);
         let stages = mem::take(&mut sums.stages);
         let customers = sums.customers.clone();
         sums.customers.retain(|_, it| it.running > 0);
         for sum in sums.customers.values_mut() {
-            *sum = CustomerSum { running: sum.running, most: sum.running, ..Default::default() };
+            *sum = CustomerSum { running: sum.running, peak: sum.running, ..Default::default() };
         }
         drop(sums);
         UsageReport {
@@ -115,8 +115,8 @@
 }
 
 fn customer_use((customer, sum): (CustomerName, CustomerSum)) -> CustomerUse {
-    let CustomerSum { requests, most, tokens, .. } = sum;
-    CustomerUse { customer, requests, concurrency: most, tokens: Tokens(tokens) }
+    let CustomerSum { requests, peak, tokens, .. } = sum;
+    CustomerUse { customer, requests, concurrency: peak, tokens: Tokens(tokens) }
 }
 
 fn stage_use(((customer, stage, pool), sum): (StageKey, StageSum)) -> StageUse {
