--- a/crates/entry/tests/claims.rs
+++ b/crates/entry/tests/claims.rs
@@ -1,4 +1,5 @@
-//! Requests that run at most once: every answer of the state, and every way the call can end.
+//! Requests that run at most once: every answer to a claim, and every way in which the call can
+//! end.
 
 mod support;
 
@@ -9,7 +10,9 @@
 use follower::ClaimError;
 use serde_json::json;
 use support::fake::{Act, Fake, Seen, response, stage_ok};
-use support::{Answer, Asked, FakeSession, Pools, open, post, request, under_way, until};
+use support::{
+    Answer, FakeSession, Pools, SessionCall, open, post, request, until, wait_in_flight,
+};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
@@ -18,9 +21,9 @@
 const BODY: &str = r#"{"input": {"artist": 4}}"#;
 const HEADERS: &str = "idempotency-key: k1\r\nmothplank-deadline-ms: 1500\r\n";
 
-/// What an upstream does with a call.
+/// How an upstream responds to a call.
 #[derive(Clone, Copy, PartialEq)]
-enum Does {
+enum Behavior {
     Answers,
     Closes,
     Errs,
@@ -29,34 +32,34 @@
     Refuses,
 }
 
-fn script(does: Does, seen: &Seen) -> Vec<Act> {
-    match does {
-        Does::Answers | Does::Refuses => stage_ok(seen, &json!("booked")),
-        Does::Closes => vec![Act::Close],
-        Does::Errs => vec![Act::Write(response(500, &seen.id, "", ""))],
-        Does::Declines => vec![Act::Write(response(429, &seen.id, "", ""))],
-        Does::Swaps => {
+fn script(behavior: Behavior, seen: &Seen) -> Vec<Act> {
+    match behavior {
+        Behavior::Answers | Behavior::Refuses => stage_ok(seen, &json!("booked")),
+        Behavior::Closes => vec![Act::Close],
+        Behavior::Errs => vec![Act::Write(response(500, &seen.id, "", ""))],
+        Behavior::Declines => vec![Act::Write(response(429, &seen.id, "", ""))],
+        Behavior::Swaps => {
             let other = types::CallId::random().to_string();
             vec![Act::Write(response(200, &other, "", "{}"))]
         }
     }
 }
 
-struct Rig {
+struct Fixture {
     entry: Entry<FakeSession>,
     session: Arc<FakeSession>,
     encode: Fake,
     book: [Fake; 2],
 }
 
-impl Rig {
-    /// Returns how often the service was called, over both its upstreams.
+impl Fixture {
+    /// Returns how often the service was called, over both of its upstreams.
     fn calls(&self) -> usize {
         self.book.iter().map(|it| it.count("/v1/book")).sum()
     }
 }
 
-async fn rig(encode: Does, book: Does) -> Rig {
+async fn fixture(encode: Behavior, book: Behavior) -> Fixture {
     let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let fakes = (
         Fake::spawn(move |seen| script(encode, seen)).await,
@@ -65,21 +68,22 @@
             Fake::spawn(move |seen| script(book, seen)).await,
         ],
     );
-    let address = |does, fake: &Fake| if does == Does::Refuses { gone } else { fake.address };
+    let address =
+        |behavior, fake: &Fake| if behavior == Behavior::Refuses { gone } else { fake.address };
     let pools = Pools {
         encode: vec![address(encode, &fakes.0)],
         book: fakes.1.iter().map(|it| address(book, it)).collect(),
         ..Pools::default()
     };
     let (entry, session) = open(&pools).await;
-    Rig { entry, session, encode: fakes.0, book: fakes.1 }
+    Fixture { entry, session, encode: fakes.0, book: fakes.1 }
 }
 
-fn words(session: &FakeSession) -> Vec<String> {
-    let word = |asked: &Asked| match asked {
-        Asked::Claim(_) => "claim".to_owned(),
-        Asked::Release(_) => "release".to_owned(),
-        Asked::Finish(_, answer) => format!("finish {}", answer.outcome),
+fn call_names(session: &FakeSession) -> Vec<String> {
+    let word = |asked: &SessionCall| match asked {
+        SessionCall::Claim(_) => "claim".to_owned(),
+        SessionCall::Release(_) => "release".to_owned(),
+        SessionCall::Finish(_, answer) => format!("finish {}", answer.outcome),
     };
     session.asked().iter().map(word).collect()
 }
@@ -101,8 +105,8 @@
 struct Case {
     name: &'static str,
     claims: Vec<Result<ClaimAnswer, ClaimError>>,
-    encode: Does,
-    book: Does,
+    encode: Behavior,
+    book: Behavior,
     releases: Vec<Result<(), ClaimError>>,
     status: u16,
     outcome: &'static str,
@@ -116,8 +120,8 @@
         Self {
             name,
             claims: Vec::new(),
-            encode: Does::Answers,
-            book: Does::Answers,
+            encode: Behavior::Answers,
+            book: Behavior::Answers,
             releases: Vec::new(),
             status: 200,
             outcome: "complete",
@@ -127,7 +131,7 @@
         }
     }
 
-    fn says(mut self, status: u16, outcome: &'static str, reason: &'static str) -> Self {
+    fn reports(mut self, status: u16, outcome: &'static str, reason: &'static str) -> Self {
         (self.status, self.outcome, self.reason) = (status, outcome, reason);
         self
     }
@@ -138,72 +142,69 @@
     vec![
         Case { asked: &["claim", "finish complete"], calls: 1, ..Case::new("it is answered") },
         Case {
-            book: Does::Closes,
+            book: Behavior::Closes,
             asked: &["claim", "finish unknown"],
             calls: 1,
-            ..Case::new("its answer is lost").says(504, "unknown", "call-lost")
+            ..Case::new("its answer is lost").reports(504, "unknown", "call-lost")
         },
         Case {
-            book: Does::Swaps,
+            book: Behavior::Swaps,
             asked: &["claim", "finish unknown"],
             calls: 1,
-            ..Case::new("another call's answer comes").says(504, "unknown", "call-lost")
+            ..Case::new("another call's answer comes").reports(504, "unknown", "call-lost")
         },
         Case {
-            book: Does::Errs,
+            book: Behavior::Errs,
             asked: &["claim", "finish failed"],
             calls: 1,
-            ..Case::new("the service says it failed").says(502, "failed", "upstream")
+            ..Case::new("the service says it failed").reports(502, "failed", "upstream")
         },
         Case {
-            book: Does::Declines,
+            book: Behavior::Declines,
             asked: released,
             calls: 2,
-            ..Case::new("the service declines").says(502, "failed", "declined")
+            ..Case::new("the service declines").reports(502, "failed", "declined")
         },
         Case {
-            book: Does::Refuses,
+            book: Behavior::Refuses,
             asked: released,
-            ..Case::new("the service is not there").says(502, "failed", "no-upstream")
+            ..Case::new("the service is not there").reports(502, "failed", "no-upstream")
         },
         Case {
-            encode: Does::Errs,
+            encode: Behavior::Errs,
             asked: released,
-            ..Case::new("a stage before it fails").says(502, "failed", "upstream")
+            ..Case::new("a stage before it fails").reports(502, "failed", "upstream")
         },
         Case {
-            encode: Does::Refuses,
+            encode: Behavior::Refuses,
             asked: released,
-            ..Case::new("no stage could be called").says(503, "not-run", "no-upstream")
+            ..Case::new("no stage could be called").reports(503, "not-run", "no-upstream")
         },
         Case {
-            encode: Does::Refuses,
+            encode: Behavior::Refuses,
             releases: vec![uncertain(), Ok(())],
             asked: &["claim", "release", "release"],
-            ..Case::new("the first release is lost").says(503, "not-run", "no-upstream")
+            ..Case::new("the first release is lost").reports(503, "not-run", "no-upstream")
         },
         Case {
-            encode: Does::Refuses,
+            encode: Behavior::Refuses,
             releases: vec![rejected(), Ok(())],
             asked: &["claim", "release", "release"],
-            ..Case::new("the first release is rejected").says(503, "not-run", "no-upstream")
+            ..Case::new("the first release is rejected").reports(503, "not-run", "no-upstream")
         },
         Case {
             claims: vec![Ok(ClaimAnswer::Granted), Ok(ClaimAnswer::Running)],
-            encode: Does::Refuses,
+            encode: Behavior::Refuses,
             releases: vec![rejected(), Ok(())],
             asked: &["claim", "release", "release"],
-            ..Case::new("another attempt holds the key while the first release is rejected").says(
-                503,
-                "not-run",
-                "no-upstream",
-            )
+            ..Case::new("another attempt holds the key while the first release is rejected")
+                .reports(503, "not-run", "no-upstream")
         },
         Case {
-            encode: Does::Refuses,
+            encode: Behavior::Refuses,
             releases: vec![Err(ClaimError::Ended(ClaimAnswer::OwnerLost))],
             asked: &["claim", "release"],
-            ..Case::new("the claim is no longer ours").says(409, "unknown", "claim-lost")
+            ..Case::new("the claim is no longer ours").reports(409, "unknown", "claim-lost")
         },
         Case {
             claims: vec![uncertain(), Ok(ClaimAnswer::Granted)],
@@ -219,12 +220,12 @@
     vec![
         Case {
             claims: one(ClaimAnswer::Running),
-            ..Case::new("running").says(409, "unknown", "running")
+            ..Case::new("running").reports(409, "unknown", "running")
         },
         Case {
             claims: vec![uncertain(), Ok(ClaimAnswer::Running)],
             asked: &["claim", "claim", "release"],
-            ..Case::new("running, and a sending before was lost").says(409, "unknown", "running")
+            ..Case::new("running, and a sending before was lost").reports(409, "unknown", "running")
         },
         Case {
             claims: vec![uncertain(), stored(Some("{\"a\":1}"))],
@@ -235,126 +236,129 @@
         Case { claims: vec![stored(None)], ..Case::new("done, too large to keep") },
         Case {
             claims: one(ClaimAnswer::OwnerLost),
-            ..Case::new("owner lost").says(504, "unknown", "owner-lost")
+            ..Case::new("owner lost").reports(504, "unknown", "owner-lost")
         },
         Case {
             claims: one(ClaimAnswer::Mismatch),
-            ..Case::new("other body").says(422, "not-run", "key-mismatch")
+            ..Case::new("other body").reports(422, "not-run", "key-mismatch")
         },
         Case {
             claims: one(ClaimAnswer::Expired),
-            ..Case::new("too old").says(422, "unknown", "key-expired")
+            ..Case::new("too old").reports(422, "unknown", "key-expired")
         },
         Case {
             claims: one(ClaimAnswer::Full),
-            ..Case::new("no room").says(503, "not-run", "keys-full")
+            ..Case::new("no room").reports(503, "not-run", "keys-full")
         },
     ]
 }
 
-/// Symptom: a booking runs twice, or a caller hears "not run" about one that ran, or hears it about
-/// a key that can never run again. Sequence: each answer of the state, and each way the call that
-/// may not be repeated can end. Cause: one branch of this table is wrong.
+/// Guards against a booking that runs twice, and against a caller that is told "not run" about a
+/// request that ran or about a key that can never run again. Covers each answer to a claim and each
+/// way in which the call that may not be repeated can end.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_answer_and_every_end_is_told_as_it_is() {
     for case in granted().into_iter().chain(not_granted()) {
         let name = case.name;
-        let rig = rig(case.encode, case.book).await;
-        rig.session.claims.lock().unwrap().extend(case.claims);
-        rig.session.releases.lock().unwrap().extend(case.releases);
-        let answer = post(rig.entry.address(), "booking", HEADERS, BODY).await;
-        assert_eq!(rig.calls(), case.calls, "calls: {name}");
-        let told = (answer.status, answer.outcome(), answer.reason());
-        assert_eq!(told, (case.status, case.outcome, case.reason.to_owned()), "{name}: {answer:?}");
-        assert_eq!(words(&rig.session), case.asked, "{name}");
-        let comes_back = matches!(case.status, 409 | 503);
-        assert!(!comes_back || answer.header("retry-after").is_some(), "{name}: {answer:?}");
-        rig.entry.drain().await;
+        let fixture = fixture(case.encode, case.book).await;
+        fixture.session.claims.lock().unwrap().extend(case.claims);
+        fixture.session.releases.lock().unwrap().extend(case.releases);
+        let answer = post(fixture.entry.address(), "booking", HEADERS, BODY).await;
+        assert_eq!(fixture.calls(), case.calls, "calls: {name}");
+        let reported = (answer.status, answer.outcome(), answer.reason());
+        assert_eq!(
+            reported,
+            (case.status, case.outcome, case.reason.to_owned()),
+            "{name}: {answer:?}"
+        );
+        assert_eq!(call_names(&fixture.session), case.asked, "{name}");
+        let is_retryable = matches!(case.status, 409 | 503);
+        assert!(!is_retryable || answer.header("retry-after").is_some(), "{name}: {answer:?}");
+        fixture.entry.drain().await;
     }
 }
 
-/// Symptom: a key is held for ever by a request that was told nothing ran. Sequence: no answer to
-/// the claim comes until the deadline, and the claim is committed late. Cause: the entry gives up
-/// without a durable release.
+/// Guards against a key that stays claimed by a request that was reported as not run. The claim is
+/// not answered before the deadline and is committed late; an entry that gives up without a
+/// committed release would leave it claimed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_that_was_never_answered_is_released() {
-    let rig = rig(Does::Answers, Does::Answers).await;
-    rig.session.claims.lock().unwrap().extend((0..50).map(|_| uncertain()));
+    let fixture = fixture(Behavior::Answers, Behavior::Answers).await;
+    fixture.session.claims.lock().unwrap().extend((0..50).map(|_| uncertain()));
     let headers = "idempotency-key: k1\r\nmothplank-deadline-ms: 300\r\n";
-    let answer = post(rig.entry.address(), "booking", headers, BODY).await;
-    // 409 where the release took longer than the caller waits.
+    let answer = post(fixture.entry.address(), "booking", headers, BODY).await;
+    // 409 if the release took longer than the caller waits.
     assert!(matches!(answer.status, 409 | 503) && answer.outcome() == "unknown", "{answer:?}");
-    until(|| words(&rig.session).last().is_some_and(|it| it == "release")).await;
-    let tickets: Vec<_> = rig
+    until(|| call_names(&fixture.session).last().is_some_and(|it| it == "release")).await;
+    let tickets: Vec<_> = fixture
         .session
         .asked()
         .into_iter()
-        .filter_map(|it| if let Asked::Claim(claim) = it { Some(claim.ticket) } else { None })
+        .filter_map(|it| if let SessionCall::Claim(claim) = it { Some(claim.ticket) } else { None })
         .collect();
     assert!(tickets.windows(2).all(|it| it[0] == it[1]), "another ticket: {tickets:?}");
-    assert_eq!(rig.calls(), 0);
-    rig.entry.drain().await;
+    assert_eq!(fixture.calls(), 0);
+    fixture.entry.drain().await;
 }
 
-/// Symptom: bookings are refused at every change of the leader; or they pile up for as long as there
-/// is no quorum. Sequence: one claim is rejected, the next is not; then all are. Cause: a rejected
-/// claim is refused at once, or is always asked for again.
+/// Guards against bookings that are refused at every change of the leader, and against bookings
+/// that pile up while there is no quorum. First a single claim is rejected, then all are: a
+/// rejected claim must be retried, but not for ever.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_short_loss_of_the_quorum_is_waited_out_and_a_long_one_is_not() {
-    let rig = rig(Does::Answers, Does::Answers).await;
+    let fixture = fixture(Behavior::Answers, Behavior::Answers).await;
     let ask = async |key: &str| {
         let headers = format!("idempotency-key: {key}\r\n");
-        post(rig.entry.address(), "booking", &headers, BODY).await
+        post(fixture.entry.address(), "booking", &headers, BODY).await
     };
-    rig.session.claims.lock().unwrap().push_back(rejected());
+    fixture.session.claims.lock().unwrap().push_back(rejected());
     let answer = ask("k1").await;
     assert_eq!(answer.outcome(), "complete", "{answer:?}");
 
-    rig.session.claims.lock().unwrap().extend((0..100).map(|_| rejected()));
+    fixture.session.claims.lock().unwrap().extend((0..100).map(|_| rejected()));
     let first = ask("k2").await;
-    let asked = rig.session.asked().len();
+    let asked = fixture.session.asked().len();
     let second = ask("k3").await;
     for answer in [first, second] {
-        let told = (answer.status, answer.outcome(), answer.reason());
-        assert_eq!(told, (503, "unknown", "no-quorum".to_owned()), "{answer:?}");
+        let reported = (answer.status, answer.outcome(), answer.reason());
+        assert_eq!(reported, (503, "unknown", "no-quorum".to_owned()), "{answer:?}");
     }
-    assert_eq!(rig.session.asked().len(), asked + 1);
-    assert_eq!(rig.calls(), 1);
-    rig.entry.drain().await;
+    assert_eq!(fixture.session.asked().len(), asked + 1);
+    assert_eq!(fixture.calls(), 1);
+    fixture.entry.drain().await;
 }
 
-async fn send(rig: &Rig, body: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(rig.entry.address()).await.unwrap();
+async fn send(fixture: &Fixture, body: &str) -> TcpStream {
+    let mut stream = TcpStream::connect(fixture.entry.address()).await.unwrap();
     let headers = format!("{}{HEADERS}", support::bearer());
     stream.write_all(request("booking", &headers, body).as_bytes()).await.unwrap();
     stream
 }
 
-/// Symptom: a resend gets another answer than the first caller got. Sequence: the answer is written
-/// to the caller, the entry dies before it is committed, the resend is told "unknown". Cause: the
-/// answer goes out before its commit.
+/// Guards against a resend that gets another answer than the first caller. If an answer were sent
+/// before its commit and the entry died in between, the resend would be told "unknown".
 #[tokio::test(flavor = "multi_thread")]
 async fn nobody_gets_an_answer_before_it_is_committed() {
-    let rig = rig(Does::Answers, Does::Answers).await;
+    let fixture = fixture(Behavior::Answers, Behavior::Answers).await;
     let hold = Arc::new(Notify::new());
-    *rig.session.hold.lock().unwrap() = Some(Arc::clone(&hold));
-    let early = post(rig.entry.address(), "booking", HEADERS, BODY).await;
+    *fixture.session.hold.lock().unwrap() = Some(Arc::clone(&hold));
+    let early = post(fixture.entry.address(), "booking", HEADERS, BODY).await;
     assert_eq!((early.status, early.reason().as_str()), (409, "running"), "{early:?}");
-    assert_eq!(rig.calls(), 1);
-    let mut resend = send(&rig, BODY).await;
-    // The life, and the resend twice: its connection and its wait.
-    under_way(rig.entry.address(), 3).await;
+    assert_eq!(fixture.calls(), 1);
+    let mut resend = send(&fixture, BODY).await;
+    // Counted are the claim task, and the resend twice: its connection and its wait.
+    wait_in_flight(fixture.entry.address(), 3).await;
     hold.notify_one();
     let answer = support::read(&mut resend).await;
     assert_eq!(answer.outcome(), "complete", "{answer:?}");
-    assert_eq!(words(&rig.session), ["claim", "finish complete"]);
-    *rig.session.hold.lock().unwrap() = None;
-    rig.entry.drain().await;
+    assert_eq!(call_names(&fixture.session), ["claim", "finish complete"]);
+    *fixture.session.hold.lock().unwrap() = None;
+    fixture.entry.drain().await;
 }
 
-/// Symptom: resends under way each take a claim and a place, or get answers that differ. Sequence:
-/// four callers send the same request under one key at once, one sends another body. Cause: the
-/// entry forgets what it has under way.
+/// Guards against resends that each take a claim and a slot, or that get different answers. Four
+/// callers send the same request under one key at once, and one sends another body; the entry must
+/// know which keys are in flight.
 #[tokio::test(flavor = "multi_thread")]
 async fn resends_under_way_share_one_claim_and_one_answer() {
     let gate = Arc::new(Notify::new());
@@ -369,42 +373,42 @@
     let pools =
         Pools { encode: vec![encode.address], book: vec![book[0].address], ..Pools::default() };
     let (entry, session) = open(&pools).await;
-    let rig = Rig { entry, session, encode, book };
-    let mut callers = vec![send(&rig, BODY).await];
-    until(|| rig.calls() == 1).await;
+    let fixture = Fixture { entry, session, encode, book };
+    let mut callers = vec![send(&fixture, BODY).await];
+    until(|| fixture.calls() == 1).await;
     for _ in 0..3 {
-        callers.push(send(&rig, BODY).await);
+        callers.push(send(&fixture, BODY).await);
     }
-    let mut other = send(&rig, r#"{"input": {"artist": 5}}"#).await;
+    let mut other = send(&fixture, r#"{"input": {"artist": 5}}"#).await;
     let other = support::read(&mut other).await;
     assert_eq!((other.status, other.outcome()), (422, "not-run"), "{other:?}");
-    // The life, and each caller twice: its connection and its wait.
-    under_way(rig.entry.address(), 9).await;
+    // Counted are the claim task, and each caller twice: its connection and its wait.
+    wait_in_flight(fixture.entry.address(), 9).await;
     gate.notify_one();
     let mut answers: Vec<Answer> = Vec::new();
     for caller in &mut callers {
         answers.push(support::read(caller).await);
     }
     assert!(answers.iter().all(|it| it.status == 200 && it.body == answers[0].body));
-    assert_eq!(words(&rig.session), ["claim", "finish complete"]);
-    assert_eq!(rig.encode.count("/v1/stage"), 1);
-    rig.entry.drain().await;
+    assert_eq!(call_names(&fixture.session), ["claim", "finish complete"]);
+    assert_eq!(fixture.encode.count("/v1/stage"), 1);
+    fixture.entry.drain().await;
 }
 
-/// Symptom: a booking ran and nobody ever hears so: its resend is told "unknown". Sequence: the
-/// caller leaves after the call was sent. Cause: the run ends with the caller's connection.
+/// Guards against a booking that ran but whose resend is told "unknown". The caller leaves after
+/// the call was sent, which must not end the run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_does_not_take_the_claim_with_it() {
-    let rig = rig(Does::Answers, Does::Answers).await;
+    let fixture = fixture(Behavior::Answers, Behavior::Answers).await;
     let hold = Arc::new(Notify::new());
-    *rig.session.hold.lock().unwrap() = Some(Arc::clone(&hold));
-    let stream = send(&rig, BODY).await;
-    until(|| rig.calls() == 1).await;
+    *fixture.session.hold.lock().unwrap() = Some(Arc::clone(&hold));
+    let stream = send(&fixture, BODY).await;
+    until(|| fixture.calls() == 1).await;
     drop(stream);
     tokio::time::sleep(Duration::from_millis(20)).await;
     hold.notify_one();
-    until(|| words(&rig.session).len() == 2).await;
-    assert_eq!(words(&rig.session), ["claim", "finish complete"]);
-    *rig.session.hold.lock().unwrap() = None;
-    rig.entry.drain().await;
+    until(|| call_names(&fixture.session).len() == 2).await;
+    assert_eq!(call_names(&fixture.session), ["claim", "finish complete"]);
+    *fixture.session.hold.lock().unwrap() = None;
+    fixture.entry.drain().await;
 }
--- a/crates/entry/tests/front.rs
+++ b/crates/entry/tests/front.rs
@@ -1,4 +1,4 @@
-//! The callers' side: what is refused and how, resends that join, drain.
+//! The HTTP server for callers: refusals, resends that share a run, and drains.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use serde_json::json;
 use support::fake::{Act, Fake, stage_ok};
 use support::{
-    Answer, Pools, bearer, next_bytes, open, open_service, page, post, read, request, service,
-    under_way, until,
+    Answer, Pools, bearer, get, next_bytes, open, open_service, post, read, request, service,
+    until, wait_in_flight,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -31,9 +31,9 @@
     Case { name, pipeline: "encode", headers, body, status, reason }
 }
 
-/// Symptom: a caller cannot tell a mistake of its own from a refusal, or is told "not run" with a
-/// status that means otherwise. Sequence: each request that is refused for what it says. Cause: the
-/// table of statuses.
+/// Guards against a status that does not match the reason, so that a caller cannot tell its own
+/// mistake from a refusal, or is told "not run" with a status that means otherwise. Covers each
+/// request that is refused because of its content.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_cannot_run_is_refused_by_name() {
     let encode = Fake::spawn(|seen| stage_ok(seen, &json!(1))).await;
@@ -65,21 +65,21 @@
         let text = request(case.pipeline, &case.headers, &case.body);
         stream.write_all(text.as_bytes()).await.unwrap();
         let answer = read(&mut stream).await;
-        let told = (answer.status, answer.outcome(), answer.reason());
+        let reported = (answer.status, answer.outcome(), answer.reason());
         let want = (case.status, "not-run", case.reason.to_owned());
-        assert_eq!(told, want, "{}: {answer:?}", case.name);
+        assert_eq!(reported, want, "{}: {answer:?}", case.name);
     }
     for path in ["/v1/pipelines/encode", "/v2/pipelines/encode"] {
-        let answer = page(entry.address(), path).await;
+        let answer = get(entry.address(), path).await;
         assert_eq!(answer.outcome(), "not-run", "{path}: {answer:?}");
     }
     assert_eq!(encode.count("/v1/stage"), 0);
     entry.drain().await;
 }
 
-/// Symptom: slow or broken callers hold connections for ever, or half a request runs. Sequence: a
-/// caller announces more than it sends, then stops, or closes. Cause: the HTTP library ends such a
-/// body quietly.
+/// Guards against slow or broken callers that hold connections for ever, and against half a request
+/// that runs. A caller announces more than it sends, then stops or closes; the HTTP library ends
+/// such a body without an error.
 #[tokio::test(flavor = "multi_thread")]
 async fn half_a_request_never_runs() {
     let encode = Fake::spawn(|seen| stage_ok(seen, &json!(1))).await;
@@ -106,9 +106,9 @@
     stream
 }
 
-/// Symptom: callers that retry multiply the work of slow requests, or one caller gets an answer
-/// with another's request id. Sequence: a request is under way; the same comes three times more;
-/// the first caller leaves. Cause: each resend runs, or ends with the first.
+/// Guards against resends that multiply the work of slow requests, and against an answer with
+/// another caller's request id. A request is in flight, the same one is sent three more times, and
+/// the first caller leaves: the resends must neither run separately nor end with the first caller.
 #[tokio::test(flavor = "multi_thread")]
 async fn resends_join_the_run_under_way_and_outlive_its_first_caller() {
     let gate = Arc::new(Notify::new());
@@ -127,9 +127,9 @@
     for _ in 0..3 {
         callers.push(send(entry.address(), "encode").await);
     }
-    under_way(entry.address(), 8).await;
+    wait_in_flight(entry.address(), 8).await;
     drop(first);
-    under_way(entry.address(), 6).await;
+    wait_in_flight(entry.address(), 6).await;
     gate.notify_one();
     let mut answers: Vec<Answer> = Vec::new();
     for caller in &mut callers {
@@ -144,9 +144,9 @@
     entry.drain().await;
 }
 
-/// Symptom: a restart cuts requests, or the balancer sends requests that fail. Sequence: a drain
-/// begins while a request is under way and a connection is idle. Cause: the steps of the drain come
-/// in another order, or the process ends before the last byte.
+/// Guards against a restart that cuts requests, or that fails requests from the load balancer. A
+/// drain begins while one request is in flight and one connection is idle; the steps of the drain
+/// must keep their order, and the process must last until the final byte.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_cuts_nothing_and_closes_everything() {
     let gate = Arc::new(Notify::new());
@@ -160,7 +160,7 @@
     let pools = Pools { encode: vec![encode.address], ..Pools::default() };
     let (entry, session) = open(&pools).await;
     let address = entry.address();
-    assert_eq!(page(address, "/readyz").await.status, 200);
+    assert_eq!(get(address, "/readyz").await.status, 200);
     let mut idle = TcpStream::connect(address).await.unwrap();
     idle.write_all(b"GET /livez HTTP/1.1\r\nhost: e\r\n\r\n").await.unwrap();
     assert_eq!(read(&mut idle).await.status, 200);
@@ -168,8 +168,8 @@
     until(|| encode.count("/v1/stage") == 1).await;
 
     let drain = tokio::spawn(entry.drain());
-    until(|| session.drained()).await;
-    assert_eq!(page(address, "/readyz").await.status, 503);
+    until(|| session.drain_reported()).await;
+    assert_eq!(get(address, "/readyz").await.status, 503);
     let refused = post(address, "encode", "", BODY).await;
     assert_eq!((refused.status, refused.reason().as_str()), (503, "draining"), "{refused:?}");
     assert_eq!((refused.outcome(), refused.header("connection")), ("not-run", Some("close")));
@@ -177,13 +177,13 @@
     assert!(!drain.is_finished());
     gate.notify_one();
     let answer = read(&mut running).await;
-    assert_eq!((answer.status, answer.outcome(), answer.whole), (200, "complete", true));
+    assert_eq!((answer.status, answer.outcome(), answer.complete), (200, "complete", true));
     drain.await.unwrap();
     assert!(TcpStream::connect(address).await.is_err());
 }
 
-/// Symptom: an entry that is cut off serves an old version for hours. Sequence: no quorum confirms
-/// its version any more. Cause: the version's age is not looked at.
+/// Guards against an entry that is cut off and serves an old version for hours. No quorum confirms
+/// its version any more, so the version's age must be checked.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_nobody_confirms_is_served_only_where_the_policy_says_so() {
     let encode = Fake::spawn(|seen| stage_ok(seen, &json!(1))).await;
@@ -204,8 +204,8 @@
     }
 }
 
-/// Symptom: cost by stage does not add up. Sequence: a call fails, its retry succeeds. Cause: the
-/// failed call is counted with the one that was used, or not at all.
+/// Guards against a cost by stage that does not add up. A call fails and its retry succeeds: the
+/// failed call must be counted, but apart from the one whose result was used.
 #[tokio::test(flavor = "multi_thread")]
 async fn use_is_reported_with_waste_apart() {
     let encode = Fake::spawn(|seen| match seen.number {
@@ -224,14 +224,14 @@
     assert!(stages.iter().map(|it| it.wasted.0).sum::<u64>() > 0);
 }
 
-/// Symptom: an entry runs out of file descriptors, or refuses callers though nobody is connected.
-/// Sequence: more connections than the limit are open; or as many were, one after the other, within
-/// a moment. Cause: no limit, or connections that are over still count.
+/// Guards against an entry that runs out of file descriptors, or that refuses callers although none
+/// is connected. Opens more connections than the limit, and as many one after the other within a
+/// moment: there must be a limit, and closed connections must not count.
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_beyond_the_limit_are_refused_and_those_that_are_over_do_not_count() {
     let (entry, _session) = open(&Pools::default()).await;
     for _ in 0..200 {
-        assert_eq!(page(entry.address(), "/livez").await.status, 200);
+        assert_eq!(get(entry.address(), "/livez").await.status, 200);
     }
     let mut open = Vec::new();
     let refused = loop {
@@ -243,16 +243,16 @@
         }
         open.push(stream);
     };
-    assert_eq!((open.len(), refused.status, refused.whole), (64, 503, true), "{refused:?}");
+    assert_eq!((open.len(), refused.status, refused.complete), (64, 503, true), "{refused:?}");
     assert_eq!((refused.outcome(), refused.reason().as_str()), ("unknown", "connections"));
     drop(open);
-    while page(entry.address(), "/livez").await.status != 200 {}
+    while get(entry.address(), "/livez").await.status != 200 {}
     entry.drain().await;
 }
 
-/// Symptom: callers of common clients get no answer, or the answer to another request. Sequence: a
-/// chunked body; a body announced with `Expect: 100-continue`; two requests sent at once on one
-/// connection. Cause: only the plainest form of HTTP/1.1 is served.
+/// Guards against clients that get no answer, or the answer to another request, because only the
+/// plainest form of HTTP/1.1 is served. Sends a chunked body, a body announced with `Expect:
+/// 100-continue`, and two requests at once on one connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn other_forms_of_requests_are_served() {
     let encode = Fake::spawn(|seen| stage_ok(seen, &seen.body["input"])).await;
--- a/crates/entry/tests/path.rs
+++ b/crates/entry/tests/path.rs
@@ -1,4 +1,4 @@
-//! Whole pipelines against scripted upstreams.
+//! Runs complete pipelines against scripted upstreams.
 
 mod support;
 
@@ -7,7 +7,7 @@
 
 use serde_json::{Value, json};
 use support::fake::{Act, Fake, Seen, response, stage_ok, stream};
-use support::{Pools, open, page, post, until};
+use support::{Pools, get, open, post, until};
 use tokio::sync::Notify;
 use types::CallId;
 
@@ -39,19 +39,20 @@
     let names: Vec<_> = stages.iter().map(|it| it["stage"].as_str().unwrap()).collect();
     assert_eq!(names, ["encode", "retrieve", "rerank", "generate"]);
     assert_eq!(stages[3]["tokens"], 3);
-    // 1 ms busy in each of three stages and 5 ms in the engine, at 2 a second.
+    // 1 ms busy in each of three stages and 5 ms in the engine, at a cost of 2 per second.
     assert!((body["cost"].as_f64().unwrap() - 0.016).abs() < 1e-9, "{body}");
     assert_eq!(rerank.seen()[0].body["previous"], json!({"by": "r", "after": "e"}));
     assert_eq!(engine.seen()[0].body["prompt"].as_str().unwrap().matches("lot").count(), 1);
     entry.drain().await;
 }
 
-/// Answers rightly, or in one of the ways that could hand one request's result to another.
-fn unruly(seen: &Seen, last: &Mutex<Option<Seen>>) -> Vec<Act> {
+/// Answers correctly, or in one of the ways that could hand one request's result to another
+/// request.
+fn mix_up_answers(seen: &Seen, last: &Mutex<Option<Seen>>) -> Vec<Act> {
     let other = last.lock().unwrap().replace(seen.clone());
     let right = stage_ok(seen, &seen.body["input"]);
     match (seen.number % 6, other) {
-        // The answer of the call before, whole, with that call's id or with this one's header.
+        // The complete answer of the previous call, with that call's id or with this call's header.
         (1, Some(other)) => stage_ok(&other, &other.body["input"]),
         (3, Some(other)) => {
             let body = format!("{{\"call\":\"{}\",\"output\":{}}}", other.id, other.body["input"]);
@@ -68,14 +69,14 @@
     }
 }
 
-/// Symptom: an appraisal carries another lot's retrieval. Sequence: 300 marked requests from 30
-/// callers, while half of all calls get another call's answer or half an answer. Cause: an answer is
-/// taken for that of the call which waits on the connection.
+/// Guards against a request that gets another request's result. Of 300 marked requests from 30
+/// callers, half the calls get another call's answer or half an answer. An entry that takes any
+/// answer on a connection for that of the waiting call would pass them on.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_whole_answer_is_always_the_request_s_own() {
     let fakes = async || {
         let last = Mutex::new(None);
-        Fake::spawn(move |seen| unruly(seen, &last)).await
+        Fake::spawn(move |seen| mix_up_answers(seen, &last)).await
     };
     let stages = [fakes().await, fakes().await, fakes().await];
     let encode = stages.iter().map(|it| it.address).collect();
@@ -104,8 +105,9 @@
     entry.drain().await;
 }
 
-/// Symptom: one straggler makes a request late while the other upstreams are free. Sequence: the
-/// pool's times are known, then one call hangs. Cause: nothing but the call's own limit ends it.
+/// Guards against a request that is late because one call hangs while other upstreams are free.
+/// Once the pool's call times are known, one call hangs; without a hedge, only the call's own limit
+/// would end it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_straggler_is_hedged_and_its_call_closed() {
     let hung = Arc::new(AtomicBool::new(false));
@@ -128,15 +130,15 @@
     let answer = post(entry.address(), "encode", "", r#"{"input": "hang"}"#).await;
     assert_eq!((answer.outcome(), &answer.json()["output"]), ("complete", &json!("hang")));
     assert_eq!(answer.json()["stages"][0]["attempts"], 2, "{answer:?}");
-    let metrics = page(entry.address(), "/metrics").await.body;
+    let metrics = get(entry.address(), "/metrics").await.body;
     assert!(metrics.contains("kind=\"hedge\",pool=\"encode\"}"), "{metrics}");
     entry.drain().await;
 }
 
-/// Symptom: a minute of late requests after something between entry and upstream forgot its
-/// connections. Sequence: eight connections are open; all of them go silent at once, new ones work;
-/// one request finds that out; six more come at once. Cause: each of them takes another of the kept
-/// connections and waits out the limit for it.
+/// Guards against a minute of late requests after a middlebox between entry and upstream has
+/// dropped its connections. Eight connections are open and all go silent at once, while new ones
+/// work. One request finds that out; six more follow at once. They would be late if each took
+/// another of the kept connections and waited out its limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn only_one_request_meets_a_silent_connection() {
     let (dead, gate) = (Arc::new(AtomicUsize::new(0)), Arc::new(Notify::new()));
@@ -169,7 +171,8 @@
     }
     dead.store(encode.connections(), Ordering::SeqCst);
     ask(100, 7_000).await;
-    // The limit of a pool that is hardly known, two seconds, does not fit into this deadline.
+    // The first-byte limit of a pool with few samples, two seconds, does not fit into this
+    // deadline.
     let then: Vec<_> = (101..107).map(|it| tokio::spawn(ask(it, 1_500))).collect();
     for one in then {
         one.await.unwrap();
--- a/crates/entry/tests/streams.rs
+++ b/crates/entry/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Generated answers: resumed streams, streamed answers, callers that leave.
+//! Generated answers: resumed streams, streamed answers, and callers that leave.
 
 mod support;
 
@@ -10,7 +10,8 @@
     Act, Fake, Seen, done, finish, last_chunk, response, stream, stream_head, token,
 };
 use support::{
-    Asked, Pools, bearer, metric, open, open_service, post, request, service, under_way, until,
+    Pools, SessionCall, bearer, open, open_service, post, request, service, until, wait_for_metric,
+    wait_in_flight,
 };
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -19,7 +20,7 @@
 const BODY: &str = r#"{"input": "clay"}"#;
 const STREAM: &str = "accept: text/event-stream\r\n";
 
-/// Goes on from where the call says.
+/// Streams the tokens from the position that the call resumes from.
 fn rest(seen: &Seen, to: u64) -> Vec<Act> {
     stream(&seen.id, seen.body["resume_from"].as_u64().unwrap_or(0), to)
 }
@@ -43,14 +44,14 @@
 
 struct Case {
     name: &'static str,
-    /// What the engines do with their calls, numbered over all engines.
+    /// The engines' responses; calls are numbered over all engines.
     script: fn(&Seen, usize) -> Vec<Act>,
     calls: usize,
 }
 
-/// Symptom: a resumed stream has a token twice or lacks one, or a cut one passes for whole.
-/// Sequence: an engine breaks off in its middle in each of these ways; the request goes on at the
-/// same or another engine. Cause: the position is not carried over, or not checked.
+/// Guards against a resumed stream that repeats or lacks a token, and against a cut stream that
+/// passes for complete. An engine breaks off in each of these ways and the request resumes on the
+/// same or another engine; the position must be carried over and checked.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resumed_stream_equals_the_uninterrupted_one() {
     let cases = [
@@ -114,7 +115,7 @@
 
         let answer = post(entry.address(), "generate", STREAM, BODY).await;
 
-        assert!(answer.whole, "{}", case.name);
+        assert!(answer.complete, "{}", case.name);
         let events = answer.events();
         let want: Vec<_> = (0..6).map(|it| (it, format!("t{it} "))).collect();
         assert_eq!(tokens(&events), want, "{}", case.name);
@@ -126,8 +127,9 @@
     }
 }
 
-/// Symptom: a stream ends quietly and its caller takes it for whole. Sequence: engines cut until no
-/// try is left, after tokens were passed on. Cause: the end of the connection is the only sign.
+/// Guards against a stream that ends without a sign, so that its caller takes it for complete.
+/// Engines cut it until no attempt is left, after tokens were passed on; the end of the connection
+/// must not be the only sign.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_fails_ends_in_one_error_event() {
     let engine = Fake::spawn(|seen| match seen.body["resume_from"].as_u64() {
@@ -146,8 +148,8 @@
     entry.drain().await;
 }
 
-/// Symptom: a refused stream looks like one that began. Sequence: a streamed request is refused
-/// before its first token. Cause: the head of the answer goes out before anything is known.
+/// Guards against a refused stream that looks like one that began. A streamed request is refused
+/// before its first token, so the response headers must not be sent before the first item is known.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_never_began_is_a_plain_problem() {
     let (entry, _session) = open(&Pools::default()).await;
@@ -157,9 +159,9 @@
     entry.drain().await;
 }
 
-/// Symptom: an engine works for callers that left. Sequence: a caller closes its connection while
-/// its answer, streamed or not, is generated. Cause: the HTTP library does not read a connection
-/// while its request runs.
+/// Guards against an engine that works for callers that left. A caller closes its connection while
+/// its answer, streamed or not, is generated, and the HTTP library does not read a connection while
+/// its request runs.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_cancels_its_work() {
     for headers in ["", STREAM] {
@@ -178,17 +180,18 @@
         until(|| engine.count("/v1/cancel") == 1).await;
         let seen = engine.seen();
         assert_eq!(seen[0].body["request_id"], seen[1].body["request_id"], "{headers:?}");
-        // Not because its deadline or the engine's pause ended it.
+        // The metric shows that the caller's leaving ended it, not the deadline or a pause of the
+        // engine.
         let gone = "outcome=\"gone\",reason=\"caller-gone\"} 1";
-        metric(entry.address(), gone).await;
+        wait_for_metric(entry.address(), gone).await;
         entry.drain().await;
         let stages = session.usage().into_iter().flat_map(|it| it.stages);
         assert!(stages.map(|it| it.wasted.0).sum::<u64>() > 0, "its cost is not counted as waste");
     }
 }
 
-/// Symptom: the text of a cut stream comes out wrong though its positions are right. Sequence: the
-/// engine is told what was delivered and goes on after it. Cause: the text sent along lacks a token.
+/// Guards against a cut stream whose text is wrong although its positions are right. The engine is
+/// told which text was delivered and continues after it, so that text must lack no token.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resume_carries_all_that_was_delivered() {
     let engine = Fake::spawn(|seen| match seen.body["resume_from"].as_u64() {
@@ -209,9 +212,9 @@
     entry.drain().await;
 }
 
-/// Symptom: a stream under a key lacks tokens, ends before its answer is stored, or a resend gets
-/// another answer. Sequence: a streamed request under a key runs; it is sent again after its end.
-/// Cause: the run under a claim goes past the caller's connection, and so do its tokens.
+/// Guards against a stream under a key that lacks tokens or ends before its answer is stored, and
+/// against a resend that gets another answer. The run under a claim outlives the caller's
+/// connection, and its tokens must still reach the caller.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_under_a_key_is_whole_and_stored() {
     let engine = Fake::spawn(|seen| rest(seen, 300)).await;
@@ -226,11 +229,13 @@
     let (last, end) = events.last().unwrap();
     assert_eq!((last.as_str(), events.len()), ("end", 301));
     let asked = session.asked();
-    let Some(Asked::Finish(_, stored)) = asked.last() else { panic!("not stored: {asked:?}") };
+    let Some(SessionCall::Finish(_, stored)) = asked.last() else {
+        panic!("not stored: {asked:?}")
+    };
     assert!(stored.body.is_none() && stored.outcome == Outcome::Complete, "{stored:?}");
 
-    // Until then the entry itself still knows the answer.
-    under_way(entry.address(), 0).await;
+    // Until no request is in flight, the entry itself still knows the answer.
+    wait_in_flight(entry.address(), 0).await;
     let small = json!({"output": "as stored"}).to_string();
     let kept = StoredAnswer { body: Some(small.into_bytes()), ..stored.clone() };
     session.claims.lock().unwrap().push_back(Ok(ClaimAnswer::Done(kept)));
@@ -241,9 +246,9 @@
     entry.drain().await;
 }
 
-/// Symptom: a customer with a limit on tokens generates as many as it likes. Sequence: the limit is
-/// a hundredth of a token a second; one answer of six tokens is complete; the next request comes.
-/// Cause: nobody told the decisions how many tokens an answer had.
+/// Guards against a customer that generates more tokens than its limit. The limit is a hundredth of
+/// a token per second; after one complete answer of six tokens the next request must be refused.
+/// The number of generated tokens has to reach admission.
 #[tokio::test(flavor = "multi_thread")]
 async fn generated_tokens_count_against_the_limit() {
     let engine = Fake::spawn(|seen: &Seen| rest(seen, 6)).await;
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An entry with a scripted session and scripted upstreams.
+//! Starts entries with a scripted session and scripted upstreams.
 
 #![allow(dead_code)]
 
@@ -28,15 +28,15 @@
 /// The bearer key of the customer `yard`.
 pub(crate) const KEY: &str = "yard-key";
 
-/// What was asked of the session, in order.
+/// The calls that a session received, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Asked {
+pub(crate) enum SessionCall {
     Claim(ClaimRequest),
     Finish(ClaimKey, StoredAnswer),
     Release(ClaimKey),
 }
 
-/// A session that answers by script; what the script does not name succeeds.
+/// A session that answers by script. Calls that the script does not cover succeed.
 #[derive(Default)]
 pub(crate) struct FakeSession {
     pub(crate) snapshot: Mutex<Option<Arc<Snapshot>>>,
@@ -45,13 +45,13 @@
     pub(crate) finishes: Mutex<VecDeque<Result<(), ClaimError>>>,
     pub(crate) releases: Mutex<VecDeque<Result<(), ClaimError>>>,
     pub(crate) hold: Mutex<Option<Arc<Notify>>>,
-    asked: Mutex<Vec<Asked>>,
+    asked: Mutex<Vec<SessionCall>>,
     usage: Mutex<Vec<UsageReport>>,
-    drained: Mutex<bool>,
+    drain_reported: Mutex<bool>,
 }
 
 impl FakeSession {
-    pub(crate) fn asked(&self) -> Vec<Asked> {
+    pub(crate) fn asked(&self) -> Vec<SessionCall> {
         self.asked.lock().unwrap().clone()
     }
 
@@ -59,15 +59,15 @@
         self.usage.lock().unwrap().clone()
     }
 
-    pub(crate) fn drained(&self) -> bool {
-        *self.drained.lock().unwrap()
+    pub(crate) fn drain_reported(&self) -> bool {
+        *self.drain_reported.lock().unwrap()
     }
 
     fn next<T>(queue: &Mutex<VecDeque<T>>, usual: T) -> T {
         queue.lock().unwrap().pop_front().unwrap_or(usual)
     }
 
-    async fn held(&self) {
+    async fn wait_if_held(&self) {
         let hold = self.hold.lock().unwrap().clone();
         if let Some(hold) = hold {
             hold.notified().await;
@@ -93,7 +93,7 @@
         request: ClaimRequest,
         _by: Instant,
     ) -> impl Future<Output = Result<Claimed, ClaimError>> + Send {
-        self.asked.lock().unwrap().push(Asked::Claim(request));
+        self.asked.lock().unwrap().push(SessionCall::Claim(request));
         let answer = Self::next(&self.claims, Ok(ClaimAnswer::Granted));
         std::future::ready(answer.map(Claimed::sure))
     }
@@ -105,8 +105,8 @@
         answer: StoredAnswer,
         _by: Instant,
     ) -> Result<(), ClaimError> {
-        self.held().await;
-        self.asked.lock().unwrap().push(Asked::Finish(key, answer));
+        self.wait_if_held().await;
+        self.asked.lock().unwrap().push(SessionCall::Finish(key, answer));
         Self::next(&self.finishes, Ok(()))
     }
 
@@ -116,8 +116,8 @@
         _proof: ClaimTicket,
         _by: Instant,
     ) -> Result<(), ClaimError> {
-        self.held().await;
-        self.asked.lock().unwrap().push(Asked::Release(key));
+        self.wait_if_held().await;
+        self.asked.lock().unwrap().push(SessionCall::Release(key));
         Self::next(&self.releases, Ok(()))
     }
 
@@ -128,11 +128,11 @@
     fn load(&self, _in_flight: &[(UpstreamName, u32)]) {}
 
     fn draining(&self) {
-        *self.drained.lock().unwrap() = true;
+        *self.drain_reported.lock().unwrap() = true;
     }
 }
 
-/// Where the upstreams of each pool are.
+/// The addresses of each pool's upstreams.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pools {
     pub(crate) encode: Vec<SocketAddr>,
@@ -142,7 +142,7 @@
     pub(crate) book: Vec<SocketAddr>,
 }
 
-/// Makes a service with the pipelines `appraise` (four stages), `encode` (one), `generate` (one
+/// Returns a service with the pipelines `appraise` (four stages), `encode` (one), `generate` (one
 /// engine) and `booking` (an encoder, then a call that may not be repeated).
 pub(crate) fn service(pools: &Pools) -> Service {
     let pool = |name: &str, kind: &str, addresses: &[SocketAddr]| {
@@ -191,7 +191,7 @@
     service
 }
 
-/// Starts an entry over these upstreams.
+/// Starts an entry whose service has these upstreams.
 pub(crate) async fn open(pools: &Pools) -> (Entry<FakeSession>, Arc<FakeSession>) {
     open_service(service(pools)).await
 }
@@ -214,14 +214,14 @@
     (entry, session)
 }
 
-/// One answer, read to its end.
+/// An answer that was read to its end.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
-    /// Whether the body ended as announced.
-    pub(crate) whole: bool,
+    /// Whether the body is complete: as long as announced, or ended by the last chunk.
+    pub(crate) complete: bool,
 }
 
 impl Answer {
@@ -252,7 +252,7 @@
     }
 }
 
-/// Writes a request's bytes.
+/// Returns the bytes of a request.
 pub(crate) fn request(pipeline: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -261,7 +261,7 @@
     )
 }
 
-/// Returns the header that names the customer.
+/// Returns the authorization header of the customer.
 pub(crate) fn bearer() -> String {
     format!("authorization: Bearer {KEY}\r\n")
 }
@@ -274,8 +274,8 @@
     read(&mut stream).await
 }
 
-/// Fetches a page.
-pub(crate) async fn page(address: SocketAddr, path: &str) -> Answer {
+/// Sends a `GET` request and reads its answer.
+pub(crate) async fn get(address: SocketAddr, path: &str) -> Answer {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let text = format!("GET {path} HTTP/1.1\r\nhost: entry\r\n\r\n");
     stream.write_all(text.as_bytes()).await.unwrap();
@@ -284,32 +284,32 @@
 
 /// Reads one answer.
 pub(crate) async fn read(stream: &mut TcpStream) -> Answer {
-    let reading = read_on(stream);
-    tokio::time::timeout(PATIENCE, reading).await.expect("no whole answer came")
+    let reading = read_answer(stream);
+    tokio::time::timeout(EVENT_TIMEOUT, reading).await.expect("no whole answer came")
 }
 
-async fn read_on(stream: &mut TcpStream) -> Answer {
+async fn read_answer(stream: &mut TcpStream) -> Answer {
     let mut buf = Vec::new();
     let end = loop {
         if let Some(end) = buf.windows(4).position(|it| it == b"\r\n\r\n") {
             break end + 4;
         }
         if stream.read_buf(&mut buf).await.unwrap_or(0) == 0 {
-            return Answer { status: 0, head: String::new(), body: String::new(), whole: false };
+            return Answer { status: 0, head: String::new(), body: String::new(), complete: false };
         }
     };
     let head = String::from_utf8_lossy(&buf[..end]).into_owned();
     let status = head.split(' ').nth(1).and_then(|it| it.parse().ok()).unwrap_or(0);
-    let mut answer = Answer { status, head, body: String::new(), whole: false };
+    let mut answer = Answer { status, head, body: String::new(), complete: false };
     let mut rest = buf.split_off(end);
     if let Some(length) = answer.header("content-length").and_then(|it| it.parse::<usize>().ok()) {
         while rest.len() < length && stream.read_buf(&mut rest).await.unwrap_or(0) > 0 {}
-        answer.whole = rest.len() == length;
+        answer.complete = rest.len() == length;
         answer.body = String::from_utf8_lossy(&rest).into_owned();
         return answer;
     }
     while !rest.ends_with(b"0\r\n\r\n") && stream.read_buf(&mut rest).await.unwrap_or(0) > 0 {}
-    answer.whole = rest.ends_with(b"0\r\n\r\n");
+    answer.complete = rest.ends_with(b"0\r\n\r\n");
     answer.body = unchunk(&rest);
     answer
 }
@@ -329,8 +329,8 @@
     String::from_utf8_lossy(&all).into_owned()
 }
 
-/// How long a test waits for what must come, however slow the machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for an expected event, even on a slow machine.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until a condition holds.
 pub(crate) async fn until(condition: impl Fn() -> bool) {
@@ -339,24 +339,25 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waiting).await.expect("the condition never held");
+    tokio::time::timeout(EVENT_TIMEOUT, waiting).await.expect("the condition never held");
 }
 
-/// Waits until so many requests are under way, each counted by its connection and by its run.
-pub(crate) async fn under_way(address: SocketAddr, count: u64) {
-    let waiting = async { while page(address, "/status").await.json()["under_way"] != count {} };
-    tokio::time::timeout(PATIENCE, waiting).await.expect("the count was never reached");
+/// Waits until `count` requests are in flight. Each counts once for its connection and once for its
+/// run.
+pub(crate) async fn wait_in_flight(address: SocketAddr, count: u64) {
+    let waiting = async { while get(address, "/status").await.json()["under_way"] != count {} };
+    tokio::time::timeout(EVENT_TIMEOUT, waiting).await.expect("the count was never reached");
 }
 
-/// Waits until the metrics hold this text.
-pub(crate) async fn metric(address: SocketAddr, text: &str) {
-    let waiting = async { while !page(address, "/metrics").await.body.contains(text) {} };
-    tokio::time::timeout(PATIENCE, waiting).await.expect("the metric never came");
+/// Waits until the metrics contain this text.
+pub(crate) async fn wait_for_metric(address: SocketAddr, text: &str) {
+    let waiting = async { while !get(address, "/metrics").await.body.contains(text) {} };
+    tokio::time::timeout(EVENT_TIMEOUT, waiting).await.expect("the metric never appeared");
 }
 
-/// Waits for bytes or the end of a connection.
+/// Waits for bytes or the end of a connection and returns the number of bytes.
 pub(crate) async fn next_bytes(stream: &mut TcpStream) -> usize {
     let mut bytes = [0; 8];
-    let reading = tokio::time::timeout(PATIENCE, stream.read(&mut bytes)).await;
+    let reading = tokio::time::timeout(EVENT_TIMEOUT, stream.read(&mut bytes)).await;
     reading.expect("neither bytes nor an end came").unwrap()
 }
