--- a/crates/fleet/src/authority.rs
+++ b/crates/fleet/src/authority.rs
@@ -1,4 +1,4 @@
-//! What orders need of the replicated state.
+//! The interface to the replicated state that orders need.
 
 use std::future::Future;
 
@@ -6,13 +6,14 @@
 
 use crate::Target;
 
-/// The replicated state, as far as orders need it. Both calls fail once this member does not lead.
+/// The part of the replicated state that orders need. Both calls fail once this member does not
+/// lead.
 pub trait Authority: Send + Sync + 'static {
-    /// Commits an order in the log and returns its fencing number, which is higher than that of
-    /// any order committed before it.
+    /// Commits an order in the log and returns its fencing number, which is higher than that of any
+    /// order committed before it.
     ///
     /// # Errors
-    /// Where the order is not known to be committed; a number may be lost with it.
+    /// Returns an error if the order is not known to be committed; its number may then be lost.
     fn fence(
         &self,
         upstream: &UpstreamName,
@@ -22,6 +23,6 @@
     /// Asks a quorum, after this call began, whether this member still leads.
     ///
     /// # Errors
-    /// Where it does not, or no quorum answers.
+    /// Returns an error if it does not lead, or if no quorum answers.
     fn confirm(&self) -> impl Future<Output = StepResult<()>> + Send;
 }
--- a/crates/fleet/src/client.rs
+++ b/crates/fleet/src/client.rs
@@ -1,4 +1,4 @@
-//! Small HTTP calls to upstreams and the platform, each with a time limit.
+//! An HTTP client for small calls to upstreams and the platform, each with a time limit.
 
 use std::error::Error;
 use std::io::ErrorKind;
@@ -16,16 +16,16 @@
 use tokio::time::timeout;
 use types::{StepError, StepResult};
 
-/// The largest body that is read, in bytes.
+/// The largest response body that is read, in bytes.
 const BODY_LIMIT: usize = 4 << 20;
 
-/// How long a connection that nobody uses is kept.
-const IDLE: Duration = Duration::from_secs(15);
+/// How long an unused connection is kept open.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The header by which an upstream says that it drains.
-const DRAINING: &str = "x-draining";
+/// The header with which an upstream reports that it drains.
+const DRAINING_HEADER: &str = "x-draining";
 
-/// An answer.
+/// A response.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) status: StatusCode,
@@ -39,25 +39,25 @@
     }
 }
 
-/// A client.
+/// An HTTP client.
 #[derive(Clone, Debug)]
-pub(crate) struct Http {
+pub(crate) struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl Http {
-    /// Makes a client that keeps connections. A call that runs out of time closes its connection,
-    /// so that a silent one is not used again.
-    pub(crate) fn keeping(limit: Duration) -> Self {
+impl HttpClient {
+    /// Creates a client that reuses connections. A call that runs out of time closes its
+    /// connection, so that a silent one is not used again.
+    pub(crate) fn pooled(limit: Duration) -> Self {
         Self::new(limit, 1)
     }
 
-    /// Makes a client whose calls each have a connection of their own.
+    /// Creates a client whose calls each have their own connection.
     ///
-    /// `limit` bounds the opening, and also how long the kernel goes on sending what nobody
-    /// acknowledges: without that a call which was given up could still arrive much later, once a
-    /// cut network heals.
-    pub(crate) fn once(limit: Duration) -> Self {
+    /// `limit` bounds the time to connect, and also the time for which the kernel keeps
+    /// retransmitting unacknowledged data: otherwise a call that was given up could still arrive
+    /// much later, once a partitioned network heals.
+    pub(crate) fn unpooled(limit: Duration) -> Self {
         Self::new(limit, 0)
     }
 
@@ -68,7 +68,7 @@
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_max_idle_per_host(idle)
             .retry_canceled_requests(false)
             .build(connector);
@@ -114,7 +114,7 @@
             let response = self.client.request(request).await.map_err(|e| fault(e.into()))?;
             let (head, body) = response.into_parts();
             let body = Limited::new(body, BODY_LIMIT).collect().await.map_err(fault)?.to_bytes();
-            let draining = head.headers.get(DRAINING).is_some_and(|it| it == "true");
+            let draining = head.headers.get(DRAINING_HEADER).is_some_and(|it| it == "true");
             Ok(Reply { status: head.status, draining, body })
         };
         match timeout(limit, answer).await {
@@ -124,7 +124,7 @@
     }
 }
 
-/// Returns whether the other side refused the connection: its VM runs, its process does not listen.
+/// Returns whether the peer refused the connection: its VM runs, but no process listens.
 pub(crate) fn is_refused(error: &StepError) -> bool {
     let mut cause: Option<&(dyn Error + 'static)> = Some(error.cause.as_ref());
     while let Some(it) = cause {
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The running handle.
+//! The handle of the running fleet.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,63 +13,64 @@
 use crate::leader::Leader;
 use crate::{Authority, FleetView};
 
-/// How many digests wait for control to take them.
+/// The number of digests that wait for control.
 const DIGEST_QUEUE: usize = 16;
 
-/// How many reports wait to be added up.
-const HEARD_QUEUE: usize = 1_024;
+/// The number of reports and digests that wait to be handled.
+const MESSAGE_QUEUE: usize = 1_024;
 
-/// What the fleet needs to know.
+/// The configuration of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct FleetConfig {
     /// The address of the platform's list of VMs.
     pub platform: Option<SocketAddr>,
 }
 
-/// What control sets, as it last set it.
+/// The inputs that control sets, each with its latest value.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Inputs {
-    /// Numbers the terms in which this member leads; `None` while it does not.
+    /// The number of the term in which this member leads; `None` while it does not lead.
     pub(crate) term: Option<u64>,
     pub(crate) service: Arc<Service>,
     pub(crate) marks: Arc<BTreeSet<UpstreamName>>,
 }
 
-/// What comes from elsewhere, one by one.
+/// A message that is handled once, in order of arrival.
 #[derive(Debug)]
-pub(crate) enum Heard {
-    /// An entry's report.
+pub(crate) enum Message {
+    /// A load report of an entry.
     Report(LoadReport),
-    /// Another leader's digest.
+    /// A digest of another leader.
     Digest(Digest),
 }
 
-/// The running fleet. It does nothing until [`Fleet::lead`]. Dropping it ends all its tasks.
+/// The running fleet. It does nothing until [`Fleet::lead`]. Dropping it ends all of its tasks.
 #[derive(Debug)]
 pub struct Fleet {
     terms: AtomicU64,
     inputs: watch::Sender<Inputs>,
-    heard: mpsc::Sender<Heard>,
+    messages: mpsc::Sender<Message>,
     view: Arc<ArcSwap<FleetView>>,
 }
 
 impl Fleet {
-    /// Starts it on the current tokio runtime; while it leads, digests come through the receiver.
+    /// Starts the fleet on the current tokio runtime. While it leads, digests arrive through the
+    /// receiver.
     pub fn spawn<A: Authority>(
         config: FleetConfig,
         authority: A,
     ) -> (Self, mpsc::Receiver<Digest>) {
         let (digests, receiver) = mpsc::channel(DIGEST_QUEUE);
-        let (heard, taken) = mpsc::channel(HEARD_QUEUE);
+        let (messages, received) = mpsc::channel(MESSAGE_QUEUE);
         let (inputs, watched) = watch::channel(Inputs::default());
         let view = Arc::new(ArcSwap::default());
         let leader = Leader::new(authority, config.platform, Arc::clone(&view), digests);
-        tokio::spawn(leader.run(watched, taken));
-        (Self { terms: AtomicU64::new(0), inputs, heard, view }, receiver)
+        tokio::spawn(leader.run(watched, received));
+        (Self { terms: AtomicU64::new(0), inputs, messages, view }, receiver)
     }
 
-    /// This member leads from now on, with this service in force; called once for each term, and
-    /// only once the term's first entry is committed.
+    /// Starts leading with this service in force. To be called once for each term, and only after
+    /// the term's first entry is committed.
     pub fn lead(&self, service: Arc<Service>) {
         let term = self.terms.fetch_add(1, Ordering::Relaxed);
         self.inputs.send_modify(|it| {
@@ -78,34 +79,34 @@
         });
     }
 
-    /// This member does not lead any more: no further order is sent, and those under way are cut.
+    /// Stops leading: no further order is sent, and calls in flight are cut.
     pub fn follow(&self) {
         self.inputs.send_if_modified(|it| it.term.take().is_some());
     }
 
-    /// A higher version of the service is in force.
+    /// Sets a newer version of the service.
     pub fn service(&self, service: Arc<Service>) {
         self.inputs.send_modify(|it| it.service = service);
     }
 
-    /// The upstreams that operators have marked as leaving, all of them.
+    /// Sets all upstreams that operators have marked as leaving.
     pub fn marks(&self, leaving: BTreeSet<UpstreamName>) {
         self.inputs.send_modify(|it| it.marks = Arc::new(leaving));
     }
 
-    /// An entry's report of its calls in flight.
+    /// Takes an entry's report of its calls in flight.
     pub fn entry_load(&self, report: LoadReport) {
-        // The next report replaces one for which there is no room.
-        let _ = self.heard.try_send(Heard::Report(report));
+        // A report for which there is no room is dropped; the entry's next one replaces it.
+        let _ = self.messages.try_send(Message::Report(report));
     }
 
-    /// A digest of the member that leads, while this one does not. Should this one lead next, it
-    /// goes on from what the other said is leaving.
+    /// Takes a digest of the leader while this member does not lead. If this member leads next, it
+    /// inherits which upstreams that leader reported as leaving.
     pub fn heard(&self, digest: &Digest) {
-        let _ = self.heard.try_send(Heard::Digest(digest.clone()));
+        let _ = self.messages.try_send(Message::Digest(digest.clone()));
     }
 
-    /// Returns what is known now.
+    /// Returns the current view of all upstreams.
     pub fn view(&self) -> Arc<FleetView> {
         self.view.load_full()
     }
--- a/crates/fleet/src/leader.rs
+++ b/crates/fleet/src/leader.rs
@@ -1,4 +1,4 @@
-//! One member's term: polls, digests, orders.
+//! The leader's work during a term: polls, digests and orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,66 +12,67 @@
 use types::{Digest, Fence, Service, StepError, StepResult, UnixMillis, UpstreamName};
 
 use crate::bucket::WeightBucket;
-use crate::client::Http;
+use crate::client::HttpClient;
 use crate::digest::DigestMaker;
-use crate::fleet::{Heard, Inputs};
-use crate::known::{Known, upstreams};
+use crate::fleet::{Inputs, Message};
 use crate::order::Order;
-use crate::plan::{Engine, NextOrder, Plan, ReadBack, Step};
+use crate::plan::{Decision, Engine, NextOrder, Plan, ReadBack};
 use crate::platform::VmList;
-use crate::poll::{self, LoadPoll, POLL_LIMIT, Turns};
+use crate::poll::{self, LoadPoll, POLL_TIMEOUT, PollSchedule};
+use crate::state::{FleetState, upstreams};
 use crate::{Authority, FleetView, Target};
 
-/// How often it is looked whose turn it is to be asked.
+/// How often the polls that are due are started.
 const POLL_TICK: Duration = Duration::from_millis(50);
 
-/// How often digests are made and orders decided.
+/// How often digests are built and orders are decided.
 const DECIDE_TICK: Duration = Duration::from_millis(500);
 
-/// How long a new leader holds its first digest back: until the first calls have ended. Before that
-/// it would call upstreams live that it has not asked yet, although the leader before knew better.
-const FIRST_DIGEST: Duration = Duration::from_millis(1_200);
+/// How long a new leader delays its first digest, until its first polls have ended. An earlier
+/// digest would report upstreams as live that this leader has not polled yet, although the previous
+/// leader knew better.
+const FIRST_DIGEST_DELAY: Duration = Duration::from_millis(1_200);
 
-/// How often the platform is asked for its list.
+/// How often the platform's list is read.
 const PLATFORM_PERIOD: Duration = Duration::from_secs(2);
 
-/// The most calls for load at once.
-const LOADS_AT_ONCE: usize = 64;
+/// The maximum number of load polls in flight.
+const MAX_LOAD_POLLS: usize = 64;
 
-/// The most calls for the last order at once.
-const READS_AT_ONCE: usize = 16;
+/// The maximum number of reads of last orders in flight.
+const MAX_READ_POLLS: usize = 16;
 
-/// How often an engine's last order is read back, at least and at most. In between it is half the
-/// longest time of an order. Reading goes on once an engine shows its target: an order of a leader
-/// that was frozen may still arrive, and only reading finds it.
+/// The shortest and the longest period between reads of an engine's last order. In between, the
+/// period is half the longest time of an order. Reading continues after an engine shows its target:
+/// an order of a leader that was frozen may still arrive, and only a read detects it.
 const READ_PERIODS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
 
-/// What a task brings back.
-enum Found {
+/// The result of a task.
+enum TaskResult {
     List(StepResult<VmList>),
     Load(UpstreamName, LoadPoll),
     Read(UpstreamName, StepResult<ReadBack>),
     Ordered(UpstreamName, StepResult<Fence>),
 }
 
-/// The state of the one task behind the handle.
+/// The state of the task behind the [`Fleet`](crate::Fleet) handle.
 pub(crate) struct Leader<A> {
     authority: Arc<A>,
     platform: Option<SocketAddr>,
-    http: Http,
+    http: HttpClient,
     view: Arc<ArcSwap<FleetView>>,
     digests: mpsc::Sender<Digest>,
-    known: Known,
+    state: FleetState,
     service: Arc<Service>,
     engines: BTreeMap<UpstreamName, Engine>,
-    faults: BTreeMap<UpstreamName, String>,
-    /// Engines whose read under way began before their last order ended.
-    outdated: BTreeSet<UpstreamName>,
+    last_errors: BTreeMap<UpstreamName, String>,
+    /// Engines whose read in flight began before their last order ended.
+    stale_reads: BTreeSet<UpstreamName>,
     bucket: WeightBucket,
-    maker: DigestMaker,
-    loads: Turns,
-    reads: Turns,
-    led: Instant,
+    digest_maker: DigestMaker,
+    loads: PollSchedule,
+    reads: PollSchedule,
+    leading_since: Instant,
     list_due: Instant,
 }
 
@@ -86,19 +87,19 @@
         Self {
             authority: Arc::new(authority),
             platform,
-            http: Http::keeping(POLL_LIMIT),
+            http: HttpClient::pooled(POLL_TIMEOUT),
             view,
             digests,
-            known: Known::default(),
+            state: FleetState::default(),
             service: Arc::default(),
             engines: BTreeMap::new(),
-            faults: BTreeMap::new(),
-            outdated: BTreeSet::new(),
+            last_errors: BTreeMap::new(),
+            stale_reads: BTreeSet::new(),
             bucket: WeightBucket::new(now),
-            maker: DigestMaker::new(0),
-            loads: Turns::new(LOADS_AT_ONCE),
-            reads: Turns::new(READS_AT_ONCE),
-            led: now,
+            digest_maker: DigestMaker::new(0),
+            loads: PollSchedule::new(MAX_LOAD_POLLS),
+            reads: PollSchedule::new(MAX_READ_POLLS),
+            leading_since: now,
             list_due: now,
         }
     }
@@ -107,12 +108,12 @@
     pub(crate) async fn run(
         mut self,
         mut inputs: watch::Receiver<Inputs>,
-        mut heard: mpsc::Receiver<Heard>,
+        mut messages: mpsc::Receiver<Message>,
     ) {
         loop {
             let term = inputs.borrow_and_update().term;
             if let Some(term) = term {
-                self.lead(term, &mut inputs, &mut heard).await;
+                self.lead(term, &mut inputs, &mut messages).await;
                 self.view.store(Arc::default());
                 if inputs.has_changed().is_err() {
                     return;
@@ -121,20 +122,20 @@
             }
             tokio::select! {
                 changed = inputs.changed() => if changed.is_err() { return },
-                Some(heard) = heard.recv() => self.hear(heard),
+                Some(message) = messages.recv() => self.handle_message(message),
             }
         }
     }
 
-    /// Leads until the term is over. Dropping the tasks then ends every call under way.
+    /// Leads until the term is over. Dropping the task set then aborts every call in flight.
     async fn lead(
         &mut self,
         term: u64,
         inputs: &mut watch::Receiver<Inputs>,
-        heard: &mut mpsc::Receiver<Heard>,
+        messages: &mut mpsc::Receiver<Message>,
     ) {
         let current = inputs.borrow().clone();
-        self.begin(&current);
+        self.start_term(&current);
         let mut tasks = JoinSet::new();
         let mut polls = interval(POLL_TICK);
         let mut decides = interval(DECIDE_TICK);
@@ -150,35 +151,36 @@
                     }
                     self.update(&current);
                 }
-                Some(found) = tasks.join_next() => match found {
-                    Ok(found) => self.found(found),
-                    Err(error) => log::error!("a task of the fleet ended: {error}"),
+                Some(result) = tasks.join_next() => match result {
+                    Ok(result) => self.handle_result(result),
+                    Err(error) => log::error!("a poll or order task failed: {error}"),
                 },
-                Some(heard) = heard.recv() => self.hear(heard),
+                Some(message) = messages.recv() => self.handle_message(message),
                 _ = polls.tick() => self.poll(&mut tasks),
                 _ = decides.tick() => self.decide(term, inputs, &mut tasks),
             }
         }
     }
 
-    fn begin(&mut self, inputs: &Inputs) {
+    fn start_term(&mut self, inputs: &Inputs) {
         let now = Instant::now();
-        self.led = now;
+        self.leading_since = now;
         self.list_due = now;
         self.engines.clear();
-        self.faults.clear();
-        self.outdated.clear();
+        self.last_errors.clear();
+        self.stale_reads.clear();
         self.bucket = WeightBucket::new(now);
-        // A number above those of an earlier term, as far as the members' clocks agree.
-        self.maker = DigestMaker::new(UnixMillis::now().0);
-        self.loads = Turns::new(LOADS_AT_ONCE);
-        self.reads = Turns::new(READS_AT_ONCE);
+        // The digest numbers start above those of earlier terms, as far as the members' clocks
+        // agree.
+        self.digest_maker = DigestMaker::new(UnixMillis::now().0);
+        self.loads = PollSchedule::new(MAX_LOAD_POLLS);
+        self.reads = PollSchedule::new(MAX_READ_POLLS);
         self.update(inputs);
     }
 
     fn update(&mut self, inputs: &Inputs) {
         let (now, service) = (Instant::now(), &inputs.service);
-        self.known.update(service, &inputs.marks);
+        self.state.update(service, &inputs.marks);
         let moved =
             |name: &UpstreamName| match (service.upstream(name), self.service.upstream(name)) {
                 (Some((_, new)), Some((_, old))) => new.address != old.address,
@@ -198,126 +200,141 @@
         self.reads.set(engines, period, now, &mut rand::rng());
     }
 
-    fn hear(&mut self, heard: Heard) {
-        match heard {
-            Heard::Report(report) => self.known.report(report, Instant::now()),
-            Heard::Digest(digest) => self.known.hand_over(&digest),
+    fn handle_message(&mut self, message: Message) {
+        match message {
+            Message::Report(report) => self.state.take_report(report, Instant::now()),
+            Message::Digest(digest) => self.state.inherit(&digest),
         }
     }
 
-    /// Starts the calls whose turn it is.
-    fn poll(&mut self, tasks: &mut JoinSet<Found>) {
+    /// Starts the polls that are due.
+    fn poll(&mut self, tasks: &mut JoinSet<TaskResult>) {
         let now = Instant::now();
         if let Some(platform) = self.platform.filter(|_| self.list_due <= now) {
             self.list_due = now + PLATFORM_PERIOD;
             let http = self.http.clone();
-            tasks.spawn(async move { Found::List(poll::list(&http, platform).await) });
+            tasks.spawn(async move { TaskResult::List(poll::list(&http, platform).await) });
         }
-        for name in self.loads.due(now) {
+        for name in self.loads.take_due(now) {
             if let Some((_, upstream)) = self.service.upstream(&name) {
                 let (http, address) = (self.http.clone(), upstream.address);
-                tasks.spawn(async move { Found::Load(name, poll::load(&http, address).await) });
+                tasks
+                    .spawn(async move { TaskResult::Load(name, poll::load(&http, address).await) });
             }
         }
-        for name in self.reads.due(now) {
+        for name in self.reads.take_due(now) {
             if let Some((_, upstream)) = self.service.upstream(&name) {
                 let (http, address) = (self.http.clone(), upstream.address);
-                tasks
-                    .spawn(async move { Found::Read(name, poll::read_back(&http, address).await) });
+                tasks.spawn(async move {
+                    TaskResult::Read(name, poll::read_back(&http, address).await)
+                });
             }
         }
     }
 
-    fn found(&mut self, found: Found) {
+    fn handle_result(&mut self, result: TaskResult) {
         let now = Instant::now();
-        match found {
-            Found::List(Ok(list)) => self.known.list(&list, now),
-            Found::List(Err(error)) => self.known.ignore_list(error.to_string()),
-            Found::Load(name, poll) => {
-                self.loads.ended(&name, poll.answer.came(), now);
-                self.known.polled(&name, poll, now);
+        match result {
+            TaskResult::List(Ok(list)) => self.state.take_list(&list, now),
+            TaskResult::List(Err(error)) => self.state.ignore_list(error.to_string()),
+            TaskResult::Load(name, poll) => {
+                self.loads.finish(&name, poll.answer.is_answer(), now);
+                self.state.record_poll(&name, poll, now);
             }
-            Found::Read(name, read) => self.read(&name, read, now),
-            Found::Ordered(name, ordered) => self.ordered(&name, ordered, now),
+            TaskResult::Read(name, read) => self.handle_read(&name, read, now),
+            TaskResult::Ordered(name, ordered) => self.handle_order_result(&name, ordered, now),
         }
     }
 
-    fn read(&mut self, name: &UpstreamName, read: StepResult<ReadBack>, now: Instant) {
-        self.reads.ended(name, read.is_ok(), now);
+    fn handle_read(&mut self, name: &UpstreamName, read: StepResult<ReadBack>, now: Instant) {
+        self.reads.finish(name, read.is_ok(), now);
         let Some((_, upstream)) = self.service.upstream(name) else {
             return;
         };
         let engine = self.engines.entry(name.clone()).or_default();
-        // What was read while an order was under way, or asked before it ended, may be from before.
+        // A read that began while an order was in flight may show the state before that order.
         if engine.is_ordered() {
             return;
         }
-        if self.outdated.remove(name) {
-            self.reads.hurry(name, now);
+        if self.stale_reads.remove(name) {
+            self.reads.poll_now(name, now);
             return;
         }
         let Ok(shown) = read else {
-            engine.unread();
+            engine.read_failed();
             return;
         };
         let models = self.service.models.iter();
         let mut models = models.filter(|(name, _)| name.as_str() == shown.model);
         let weights = models.next().map(|(_, model)| model.weights);
         if engine.read(shown, Target::of(&self.service, upstream).as_ref(), now) {
-            // The leader before has ordered this load, and it draws on the weight store now.
+            // The previous leader ordered this load, and it uses the weight store now.
             self.bucket.charge(weights.unwrap_or_default());
         }
     }
 
-    fn ordered(&mut self, name: &UpstreamName, ordered: StepResult<Fence>, now: Instant) {
+    fn handle_order_result(
+        &mut self,
+        name: &UpstreamName,
+        ordered: StepResult<Fence>,
+        now: Instant,
+    ) {
         self.engines.entry(name.clone()).or_default().end(ordered.is_err(), now);
-        if self.reads.is_busy(name) {
-            self.outdated.insert(name.clone());
+        if self.reads.is_polling(name) {
+            self.stale_reads.insert(name.clone());
         }
-        self.reads.hurry(name, now);
+        self.reads.poll_now(name, now);
         match ordered {
             Ok(fence) => {
-                log::info!(upstream = name.to_string(), fence = fence.0; "order accepted");
-                self.faults.remove(name);
+                log::info!(upstream = name.to_string(), fence = fence.0;
+                    "engine accepted an order");
+                self.last_errors.remove(name);
             }
             Err(error) => {
-                log::warn!(upstream = name.to_string(); "order failed: {error}");
-                self.faults.insert(name.clone(), error.to_string());
+                log::warn!(upstream = name.to_string();
+                    "order to an engine failed: {error}");
+                self.last_errors.insert(name.clone(), error.to_string());
             }
         }
     }
 
-    fn decide(&mut self, term: u64, inputs: &watch::Receiver<Inputs>, tasks: &mut JoinSet<Found>) {
+    fn decide(
+        &mut self,
+        term: u64,
+        inputs: &watch::Receiver<Inputs>,
+        tasks: &mut JoinSet<TaskResult>,
+    ) {
         let now = Instant::now();
-        self.known.judge(now);
+        self.state.update_standings(now);
         self.send_digest(now);
-        let leaving = self.known.leaving();
+        let leaving = self.state.leaving();
         let service = Arc::clone(&self.service);
-        let plan = Plan { service: &service, leaving: &leaving, led: self.led, now };
-        let orders = plan.next(&self.engines, &mut self.bucket);
-        self.show(&plan);
+        let plan =
+            Plan { service: &service, leaving: &leaving, leading_since: self.leading_since, now };
+        let orders = plan.next_orders(&self.engines, &mut self.bucket);
+        self.publish_view(&plan);
         for next in orders {
-            self.order(next, term, inputs.clone(), tasks);
+            self.send_order(next, term, inputs.clone(), tasks);
         }
     }
 
     fn send_digest(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.led) < FIRST_DIGEST {
+        if now.saturating_duration_since(self.leading_since) < FIRST_DIGEST_DELAY {
             return;
         }
-        let digest = self.maker.make(&self.known.loads(now), self.known.entries(), now);
+        let digest = self.digest_maker.make(&self.state.loads(now), self.state.entries(), now);
         if digest.is_some_and(|it| self.digests.try_send(it).is_err()) {
-            // Control is behind; it gets everything once it has caught up.
-            self.maker.reset();
+            // Control is behind and missed this digest; the next one is full.
+            self.digest_maker.reset();
         }
     }
 
-    fn order(
+    fn send_order(
         &mut self,
         next: NextOrder,
         term: u64,
         mut inputs: watch::Receiver<Inputs>,
-        tasks: &mut JoinSet<Found>,
+        tasks: &mut JoinSet<TaskResult>,
     ) {
         let NextOrder { upstream: name, mut target } = next;
         let Some((_, upstream)) = self.service.upstream(&name) else {
@@ -326,7 +343,7 @@
         let engine = self.engines.entry(name.clone()).or_default();
         engine.begin(target.clone());
         if target.role.is_empty() {
-            // The service leaves the role alone, and the order states an absolute target.
+            // The order states an absolute target, so a role that the service does not set is kept.
             target.role = engine.shown().map(|it| it.role.clone()).unwrap_or_default();
         }
         let order = Order {
@@ -345,30 +362,30 @@
                 }
                 sent = order.send(authority) => sent,
             };
-            Found::Ordered(order.upstream, sent)
+            TaskResult::Ordered(order.upstream, sent)
         });
     }
 
-    fn show(&self, plan: &Plan<'_>) {
-        let mut upstreams = self.known.statuses(plan.now);
+    fn publish_view(&self, plan: &Plan<'_>) {
+        let mut upstreams = self.state.statuses(plan.now);
         let unknown = Engine::default();
         for (name, status) in &mut upstreams {
             let Some((_, upstream)) = plan.service.upstream(name) else {
                 continue;
             };
             let engine = self.engines.get(name).unwrap_or(&unknown);
-            status.order = match plan.step(name, upstream, engine) {
-                Step::Done => String::new(),
-                Step::Wait(why) => why.to_owned(),
-                Step::Order { target, .. } => {
+            status.order = match plan.decide(name, upstream, engine) {
+                Decision::Done => String::new(),
+                Decision::Wait(why) => why.to_owned(),
+                Decision::Order { target, .. } => {
                     format!("{target}: waits for its pool or the weight store")
                 }
             };
-            if let (false, Some(fault)) = (status.order.is_empty(), self.faults.get(name)) {
+            if let (false, Some(fault)) = (status.order.is_empty(), self.last_errors.get(name)) {
                 status.order = format!("{}; last: {fault}", status.order);
             }
         }
-        let platform = self.known.trouble();
+        let platform = self.state.list_error();
         self.view.store(Arc::new(FleetView { leading: true, upstreams, platform }));
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,15 +1,14 @@
-//! What control knows of upstreams and orders of them: the platform's list, load reports, drain
-//! signals, operators' marks, and orders with fencing numbers.
+//! Tracks the upstreams and sends them orders: the platform's list, load reports, drain signals,
+//! operators' marks, and orders with fencing numbers.
 //!
-//! Only the leader polls and orders. It has no consensus in it: what needs a quorum goes through
-//! [`Authority`], which control implements.
+//! Only the leader polls and sends orders. This crate contains no consensus: what needs a quorum
+//! goes through [`Authority`], which control implements.
 
 mod authority;
 pub mod bucket;
 mod client;
 pub mod digest;
 mod fleet;
-mod known;
 mod leader;
 pub mod load;
 mod order;
@@ -17,6 +16,7 @@
 pub mod platform;
 mod poll;
 pub mod standing;
+mod state;
 mod target;
 mod view;
 
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -1,4 +1,4 @@
-//! The calls in flight of all entries together.
+//! Sums the calls in flight of all entries.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,17 +6,17 @@
 use types::{Incarnation, UpstreamName, VmName};
 use wire::session::LoadReport;
 
-/// How old an entry's latest report may be before its calls do not count any more.
-const REPORT_AGE: Duration = Duration::from_secs(5);
+/// The age of an entry's latest report beyond which its calls are not counted.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
 struct EntryLoad {
     owner: Incarnation,
     sequence: u64,
     at: Instant,
-    /// The latest full report.
+    /// The calls of the latest full report.
     base: BTreeMap<UpstreamName, u32>,
-    /// What changed since; replaces the base where it names an upstream.
+    /// The changes since the full report. They replace the base where they contain an upstream.
     delta: BTreeMap<UpstreamName, u32>,
 }
 
@@ -28,7 +28,8 @@
     }
 }
 
-/// Adds up entries' reports. The sums are kept as reports come, so that reading them costs nothing.
+/// Sums the reports of entries. The sums are updated with each report, so that reading them is
+/// cheap.
 #[derive(Debug, Default)]
 pub struct EntryLoads {
     entries: BTreeMap<VmName, EntryLoad>,
@@ -36,14 +37,14 @@
 }
 
 impl EntryLoads {
-    /// Takes a report; one that is older than what is known is dropped.
+    /// Takes a report. One that is older than the known one is dropped.
     pub fn take(&mut self, report: LoadReport, now: Instant) {
         let LoadReport { vm, owner, sequence, in_flight, full } = report;
         let known = self.entries.remove(&vm);
         if let Some(known) = known {
             let late = known.owner == owner && sequence <= known.sequence;
-            // A process starts with a full report; another one of an unknown life comes late from
-            // the process before.
+            // A process starts with a full report. A partial report of another incarnation is
+            // therefore a late one of the previous process.
             let former = known.owner != owner && !full;
             if late || former {
                 self.entries.insert(vm, known);
@@ -61,9 +62,9 @@
         self.entries.insert(vm, entry);
     }
 
-    /// Drops entries that have not reported lately.
+    /// Drops entries that have not reported recently.
     pub fn expire(&mut self, now: Instant) {
-        let old = |it: &EntryLoad| now.saturating_duration_since(it.at) > REPORT_AGE;
+        let old = |it: &EntryLoad| now.saturating_duration_since(it.at) > MAX_REPORT_AGE;
         let gone: Vec<EntryLoad> =
             self.entries.extract_if(.., |_, it| old(it)).map(|(_, it)| it).collect();
         gone.iter().for_each(|it| self.add(&it.calls(), false));
@@ -74,7 +75,7 @@
         self.sums.get(upstream).copied().unwrap_or(0)
     }
 
-    /// Returns how many entries the sums stand for.
+    /// Returns the number of entries in the sums.
     pub fn entries(&self) -> u32 {
         self.entries.len() as u32
     }
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -1,4 +1,4 @@
-//! Sends one order.
+//! Sends orders to engines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 use types::{Fence, Fencing, StepError, StepResult, UpstreamName};
 
-use crate::client::Http;
+use crate::client::HttpClient;
 use crate::{Authority, Target};
 
-/// The path at which engines take orders and show the last.
-pub(crate) const PATH: &str = "/v1/orders";
+/// The path at which engines accept orders and show the last one.
+pub(crate) const ORDERS_PATH: &str = "/v1/orders";
 
-/// An order on its way to an engine.
+/// An order to an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Order {
     pub(crate) upstream: UpstreamName,
@@ -38,13 +38,13 @@
 }
 
 impl Order {
-    /// Takes a fencing number, proves that this member leads, and sends the order.
+    /// Commits a fencing number, confirms that this member leads, and sends the order.
     ///
-    /// An engine that ignores the number obeys whoever speaks last. A leader that was frozen or
-    /// cut off does not know that another one has taken over; so it asks a quorum right before the
-    /// order. Half of `longest` is for that question and the call, the other half for what the
-    /// kernel may still deliver after the call was given up: past `longest` after the question
-    /// nothing of the order can arrive, and that is how long a new leader waits.
+    /// An engine that ignores the number obeys any order. A leader that was frozen or cut off does
+    /// not know that another one has taken over, so it asks a quorum right before it sends the
+    /// order. Half of `longest` is for that question and the call; the other half is for what the
+    /// kernel may still deliver after the call was given up. Once `longest` has passed since the
+    /// question, nothing of the order can arrive, and that is how long a new leader waits.
     pub(crate) async fn send<A: Authority>(&self, authority: Arc<A>) -> StepResult<Fence> {
         let fence = authority.fence(&self.upstream, &self.target).await?;
         let half = self.longest / 2;
@@ -58,7 +58,7 @@
             return Err(StepError::new("confirm leadership", why).at(&self.upstream));
         }
         let body = Body { fence, target: &self.target };
-        let reply = Http::once(half).post(self.address, PATH, &body, left).await?;
+        let reply = HttpClient::unpooled(half).post(self.address, ORDERS_PATH, &body, left).await?;
         match reply.status {
             StatusCode::OK => Ok(fence),
             StatusCode::CONFLICT => {
--- a/crates/fleet/src/platform.rs
+++ b/crates/fleet/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, and which of its answers to believe.
+//! The platform's list of VMs, and the rules by which a list is accepted.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,82 +7,82 @@
 use serde::{Deserialize, Serialize};
 use types::VmName;
 
-/// How long a list may be suspect, or carry old numbers, before it counts as the platform's settled
-/// opinion: a real large shrink, or a platform that numbers anew.
-const SETTLED: Duration = Duration::from_secs(60);
+/// How long a much shorter list, or one with lower numbers, must persist before it is accepted: it
+/// is then a real large shrink, or a platform that restarted its numbering.
+const SETTLE_TIME: Duration = Duration::from_secs(60);
 
-/// What the platform says of a VM.
+/// The state of a VM as reported by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// It runs.
+    /// The VM runs.
     Live,
-    /// It will be taken away.
+    /// The VM will be removed.
     Leaving,
 }
 
-/// A VM on the list.
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
-    /// Its name.
+    /// The name of the VM.
     pub vm: VmName,
-    /// What the platform says of it.
+    /// The state of the VM.
     pub state: VmState,
 }
 
-/// The platform's answer.
+/// The platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
-    /// Rises with each change of the list.
+    /// The number of the list, which rises with each change.
     pub sequence: u64,
-    /// The VMs.
+    /// The listed VMs.
     pub vms: Vec<ListedVm>,
 }
 
-/// Why a list is ignored.
+/// The reason why a list is ignored.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Suspect {
-    /// It names no VM.
+pub enum ListFault {
+    /// It lists no VM.
     Empty,
-    /// It names fewer than half of the VMs that the one before did.
+    /// It lists fewer than half of the VMs of the previous list.
     Shrunken {
-        /// How many it names.
+        /// The number of VMs it lists.
         now: usize,
-        /// How many the one before named.
+        /// The number of VMs in the previous list.
         before: usize,
     },
-    /// Its number is lower than that of the one before.
+    /// Its number is lower than that of the previous list.
     Old {
-        /// Its number.
+        /// The number of the list.
         now: u64,
-        /// The number before.
+        /// The number of the previous list.
         before: u64,
     },
 }
 
-impl fmt::Display for Suspect {
+impl fmt::Display for ListFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Suspect::Empty => f.write_str("the platform's list is empty"),
-            Suspect::Shrunken { now, before } => {
+            ListFault::Empty => f.write_str("the platform's list is empty"),
+            ListFault::Shrunken { now, before } => {
                 write!(f, "the platform's list shrank from {before} to {now} VMs")
             }
-            Suspect::Old { now, before } => {
+            ListFault::Old { now, before } => {
                 write!(f, "the platform's list {now} is older than {before}")
             }
         }
     }
 }
 
-/// What the platform has said that was believed.
+/// The accepted reports of the platform.
 ///
-/// The list lags and may fail. Taken at its word, an empty answer of a platform that has lost its
-/// own state would drop every upstream at once. So a list that is empty or suddenly half is
-/// ignored, and a VM that is merely absent keeps its state.
+/// The list lags and may fail. If every list were accepted, an empty answer of a platform that has
+/// lost its own state would remove every upstream at once. So a list that is empty, or suddenly
+/// less than half as long, is ignored, and a VM that is merely absent keeps its state.
 #[derive(Debug, Default)]
 pub struct Platform {
     last: Option<(u64, usize)>,
-    doubt: Option<(Suspect, Instant)>,
+    last_fault: Option<(ListFault, Instant)>,
     leaving: BTreeMap<VmName, u64>,
     live: BTreeMap<VmName, u64>,
 }
@@ -91,31 +91,32 @@
     /// Takes a list.
     ///
     /// # Errors
-    /// Where it is ignored.
-    pub fn take(&mut self, list: &VmList, now: Instant) -> Result<(), Suspect> {
-        if let Some(suspect) = self.suspect(list) {
-            let since = match &self.doubt {
-                Some((before, since)) if same_kind(before, &suspect) => *since,
+    /// Returns the reason if the list is ignored.
+    pub fn take(&mut self, list: &VmList, now: Instant) -> Result<(), ListFault> {
+        if let Some(fault) = self.check(list) {
+            let since = match &self.last_fault {
+                Some((before, since)) if same_kind(before, &fault) => *since,
                 _ => now,
             };
-            self.doubt = Some((suspect.clone(), since));
-            let settled = now.saturating_duration_since(since) >= SETTLED;
-            if suspect == Suspect::Empty || !settled {
-                return Err(suspect);
+            self.last_fault = Some((fault.clone(), since));
+            let settled = now.saturating_duration_since(since) >= SETTLE_TIME;
+            if fault == ListFault::Empty || !settled {
+                return Err(fault);
             }
-            if matches!(suspect, Suspect::Old { .. }) {
-                // The numbers start anew: what is leaving stays so until one higher than this.
+            if matches!(fault, ListFault::Old { .. }) {
+                // The numbering restarted: leaving VMs stay so until a list with a number higher
+                // than this one's.
                 self.leaving.values_mut().for_each(|at| *at = list.sequence);
                 self.live.clear();
             }
         }
-        self.doubt = None;
+        self.last_fault = None;
         self.last = Some((list.sequence, list.vms.len()));
-        list.vms.iter().for_each(|listed| self.sight(listed, list.sequence));
+        list.vms.iter().for_each(|listed| self.record(listed, list.sequence));
         Ok(())
     }
 
-    /// Returns whether the platform says that the VM is leaving; `None` where it never named it.
+    /// Returns whether the platform reports the VM as leaving, or `None` if it never listed the VM.
     pub fn is_leaving(&self, vm: &VmName) -> Option<bool> {
         if self.leaving.contains_key(vm) {
             return Some(true);
@@ -124,25 +125,25 @@
     }
 
     /// Returns why the latest list was ignored, if it was.
-    pub fn doubt(&self) -> Option<&Suspect> {
-        self.doubt.as_ref().map(|(suspect, _)| suspect)
+    pub fn last_fault(&self) -> Option<&ListFault> {
+        self.last_fault.as_ref().map(|(fault, _)| fault)
     }
 
-    fn suspect(&self, list: &VmList) -> Option<Suspect> {
+    fn check(&self, list: &VmList) -> Option<ListFault> {
         if list.vms.is_empty() {
-            return Some(Suspect::Empty);
+            return Some(ListFault::Empty);
         }
         let (sequence, length) = self.last?;
         if list.sequence < sequence {
-            return Some(Suspect::Old { now: list.sequence, before: sequence });
+            return Some(ListFault::Old { now: list.sequence, before: sequence });
         }
         let now = list.vms.len();
-        (now * 2 < length).then_some(Suspect::Shrunken { now, before: length })
+        (now * 2 < length).then_some(ListFault::Shrunken { now, before: length })
     }
 
-    /// Leaving is sticky: only a list with a higher number takes it back, so that two answers of
-    /// one number, or one that lags, cannot.
-    fn sight(&mut self, listed: &ListedVm, sequence: u64) {
+    /// Records the state of a VM. Leaving is sticky: only a list with a higher number clears it, so
+    /// that neither two lists with the same number nor a lagging one can.
+    fn record(&mut self, listed: &ListedVm, sequence: u64) {
         let since = self.leaving.get(&listed.vm).copied();
         match (listed.state, since) {
             (VmState::Leaving, None) => {
@@ -161,6 +162,6 @@
     }
 }
 
-fn same_kind(a: &Suspect, b: &Suspect) -> bool {
+fn same_kind(a: &ListFault, b: &ListFault) -> bool {
     std::mem::discriminant(a) == std::mem::discriminant(b)
 }
--- a/crates/fleet/src/poll.rs
+++ b/crates/fleet/src/poll.rs
@@ -1,4 +1,4 @@
-//! Asks upstreams and the platform, and when to ask again.
+//! Polls upstreams and the platform, and schedules the polls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,28 +9,29 @@
 use serde::Deserialize;
 use types::{StepError, StepResult, UpstreamName};
 
-use crate::client::{Http, is_refused};
+use crate::client::{HttpClient, is_refused};
 use crate::order;
 use crate::plan::ReadBack;
 use crate::platform::VmList;
 use crate::standing::Answer;
 
-/// How often an upstream is asked for its load.
+/// How often an upstream is polled for its load.
 const LOAD_PERIOD: Duration = Duration::from_secs(1);
 
-/// The most polls a second, whatever the number of upstreams: above it each is asked more seldom.
-const POLL_RATE: u32 = 200;
+/// The maximum number of polls per second. With more upstreams, each is polled less often.
+const MAX_POLLS_PER_SECOND: u32 = 200;
 
-/// How long an answer may take.
-pub(crate) const POLL_LIMIT: Duration = Duration::from_secs(1);
+/// The timeout of a poll.
+pub(crate) const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Over how long the first calls are spread.
-const SPREAD: Duration = Duration::from_secs(1);
+/// The period over which first polls are spread.
+const INITIAL_SPREAD: Duration = Duration::from_secs(1);
 
-/// How much longer an upstream that did not answer is left alone, with each time, up to this.
-const SILENT_FACTOR: u32 = 4;
+/// The largest factor by which the period of an upstream that does not answer is extended. The
+/// factor grows by one with each unanswered poll.
+const MAX_BACKOFF_FACTOR: u32 = 4;
 
-/// What an upstream says of its load.
+/// The load that an upstream reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 struct LoadAnswer {
     running: u32,
@@ -39,49 +40,49 @@
     draining: bool,
 }
 
-/// What a poll showed.
+/// The result of a load poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LoadPoll {
     pub(crate) answer: Answer,
-    /// Calls running and waiting.
+    /// The number of calls running and waiting.
     pub(crate) calls: Option<u32>,
 }
 
-/// Asks an upstream for its load.
-pub(crate) async fn load(http: &Http, address: SocketAddr) -> LoadPoll {
-    let nothing = LoadPoll { answer: Answer::Nothing, calls: None };
-    let reply = match http.get(address, "/v1/load", POLL_LIMIT).await {
+/// Polls an upstream for its load.
+pub(crate) async fn load(http: &HttpClient, address: SocketAddr) -> LoadPoll {
+    let no_answer = LoadPoll { answer: Answer::NoAnswer, calls: None };
+    let reply = match http.get(address, "/v1/load", POLL_TIMEOUT).await {
         Ok(reply) => reply,
         Err(error) if is_refused(&error) => {
             return LoadPoll { answer: Answer::Refused, calls: None };
         }
-        Err(_) => return nothing,
+        Err(_) => return no_answer,
     };
     if reply.status == StatusCode::SERVICE_UNAVAILABLE && reply.draining {
         return LoadPoll { answer: Answer::Draining, calls: None };
     }
     if reply.status != StatusCode::OK {
-        return nothing;
+        return no_answer;
     }
     let Ok(load) = reply.json::<LoadAnswer>() else {
-        return nothing;
+        return no_answer;
     };
     let answer = if load.draining || reply.draining { Answer::Draining } else { Answer::Serving };
     LoadPoll { answer, calls: Some(load.running.saturating_add(load.waiting)) }
 }
 
-/// Asks an engine for its last order.
-pub(crate) async fn read_back(http: &Http, address: SocketAddr) -> StepResult<ReadBack> {
-    let reply = http.get(address, order::PATH, POLL_LIMIT).await?;
+/// Reads an engine's last order.
+pub(crate) async fn read_back(http: &HttpClient, address: SocketAddr) -> StepResult<ReadBack> {
+    let reply = http.get(address, order::ORDERS_PATH, POLL_TIMEOUT).await?;
     if reply.status != StatusCode::OK {
         return Err(StepError::new("read order", reply.status.to_string()).at(address));
     }
     reply.json().map_err(|e| StepError::new("read order", e).at(address))
 }
 
-/// Asks the platform for its list.
-pub(crate) async fn list(http: &Http, address: SocketAddr) -> StepResult<VmList> {
-    let reply = http.get(address, "/v1/vms", POLL_LIMIT).await?;
+/// Reads the platform's list.
+pub(crate) async fn list(http: &HttpClient, address: SocketAddr) -> StepResult<VmList> {
+    let reply = http.get(address, "/v1/vms", POLL_TIMEOUT).await?;
     if reply.status != StatusCode::OK {
         return Err(StepError::new("read list", reply.status.to_string()).at(address));
     }
@@ -89,34 +90,34 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Turn {
+struct ScheduledPoll {
     due: Instant,
     busy: bool,
-    silent: u32,
+    unanswered: u32,
 }
 
-/// When each upstream is to be asked. At most so many calls run at once.
+/// Schedules the polls of each upstream, with a limit on the polls in flight.
 #[derive(Debug)]
-pub(crate) struct Turns {
-    turns: BTreeMap<UpstreamName, Turn>,
+pub(crate) struct PollSchedule {
+    polls: BTreeMap<UpstreamName, ScheduledPoll>,
     period: Duration,
     running: usize,
     limit: usize,
 }
 
-impl Turns {
+impl PollSchedule {
     pub(crate) fn new(limit: usize) -> Self {
-        Self { turns: BTreeMap::new(), period: LOAD_PERIOD, running: 0, limit }
+        Self { polls: BTreeMap::new(), period: LOAD_PERIOD, running: 0, limit }
     }
 
-    /// Sets whom to ask, at the usual pace for loads.
+    /// Sets the upstreams to poll for their load, at the usual rate.
     pub(crate) fn set_load(&mut self, names: Vec<UpstreamName>, now: Instant, rng: &mut impl Rng) {
-        let slowest = Duration::from_secs(1) * names.len() as u32 / POLL_RATE;
+        let slowest = Duration::from_secs(1) * names.len() as u32 / MAX_POLLS_PER_SECOND;
         self.set(names, LOAD_PERIOD.max(slowest), now, rng);
     }
 
-    /// Sets whom to ask and how often. New ones are spread at random, which keeps them apart from
-    /// then on.
+    /// Sets the upstreams to poll and the period. The first polls of new upstreams are spread at
+    /// random, which keeps their later polls apart as well.
     pub(crate) fn set(
         &mut self,
         names: Vec<UpstreamName>,
@@ -125,51 +126,56 @@
         rng: &mut impl Rng,
     ) {
         self.period = period;
-        let old = std::mem::take(&mut self.turns);
+        let old = std::mem::take(&mut self.polls);
         for name in names {
-            let mut first = || SPREAD.min(period).mul_f64(rng.random_range(0.0..1.0));
+            let mut first = || INITIAL_SPREAD.min(period).mul_f64(rng.random_range(0.0..1.0));
             let known = old.get(&name).copied();
-            let turn = known.unwrap_or_else(|| Turn { due: now + first(), busy: false, silent: 0 });
-            self.turns.insert(name, turn);
+            let poll = known.unwrap_or_else(|| ScheduledPoll {
+                due: now + first(),
+                busy: false,
+                unanswered: 0,
+            });
+            self.polls.insert(name, poll);
         }
     }
 
-    /// Makes an upstream's turn come at once.
-    pub(crate) fn hurry(&mut self, name: &UpstreamName, now: Instant) {
-        if let Some(turn) = self.turns.get_mut(name) {
-            turn.due = now;
+    /// Makes an upstream due at once.
+    pub(crate) fn poll_now(&mut self, name: &UpstreamName, now: Instant) {
+        if let Some(poll) = self.polls.get_mut(name) {
+            poll.due = now;
         }
     }
 
-    /// Returns whether a call to it is running.
-    pub(crate) fn is_busy(&self, name: &UpstreamName) -> bool {
-        self.turns.get(name).is_some_and(|it| it.busy)
+    /// Returns whether a poll of an upstream is in flight.
+    pub(crate) fn is_polling(&self, name: &UpstreamName) -> bool {
+        self.polls.get(name).is_some_and(|it| it.busy)
     }
 
-    /// Returns whose turn it is, as far as the limit allows; the most overdue first.
-    pub(crate) fn due(&mut self, now: Instant) -> Vec<UpstreamName> {
-        let waiting = self.turns.iter().filter(|(_, it)| !it.busy && it.due <= now);
+    /// Starts and returns the polls that are due, within the limit, the most overdue first.
+    pub(crate) fn take_due(&mut self, now: Instant) -> Vec<UpstreamName> {
+        let waiting = self.polls.iter().filter(|(_, it)| !it.busy && it.due <= now);
         let mut due: Vec<(Instant, UpstreamName)> =
             waiting.map(|(name, it)| (it.due, name.clone())).collect();
         due.sort_by_key(|(at, _)| *at);
         due.truncate(self.limit.saturating_sub(self.running));
         for (_, name) in &due {
-            if let Some(turn) = self.turns.get_mut(name) {
-                turn.busy = true;
+            if let Some(poll) = self.polls.get_mut(name) {
+                poll.busy = true;
                 self.running += 1;
             }
         }
         due.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// A call ended.
-    pub(crate) fn ended(&mut self, name: &UpstreamName, answered: bool, now: Instant) {
+    /// Records that a poll ended.
+    pub(crate) fn finish(&mut self, name: &UpstreamName, answered: bool, now: Instant) {
         self.running = self.running.saturating_sub(1);
         let period = self.period;
-        if let Some(turn) = self.turns.get_mut(name) {
-            turn.silent = if answered { 0 } else { (turn.silent + 1).min(SILENT_FACTOR) };
-            turn.busy = false;
-            turn.due = now + period * turn.silent.max(1);
+        if let Some(poll) = self.polls.get_mut(name) {
+            poll.unanswered =
+                if answered { 0 } else { (poll.unanswered + 1).min(MAX_BACKOFF_FACTOR) };
+            poll.busy = false;
+            poll.due = now + period * poll.unanswered.max(1);
         }
     }
 }
--- a/crates/fleet/src/standing.rs
+++ b/crates/fleet/src/standing.rs
@@ -1,45 +1,45 @@
-//! Whether an upstream gets new work, from everything that was seen of it.
+//! Derives whether an upstream gets new work from all observations of it.
 
 use std::collections::BTreeMap;
 
 use types::{Pool, UpstreamName, UpstreamStanding};
 
-/// After how many refused connections in a row an upstream counts as gone.
-const REFUSALS: u32 = 3;
+/// The number of consecutive refused connections after which an upstream counts as gone.
+const REFUSAL_THRESHOLD: u32 = 3;
 
-/// What was seen of one upstream.
+/// The observations of one upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Sighting {
-    /// What the platform says of its VM; `None` where it never named it.
+pub struct Observation {
+    /// Whether the platform reports its VM as leaving; `None` if it never listed the VM.
     pub platform: Option<bool>,
-    /// It said itself that it drains, and has not said otherwise since.
+    /// Whether it reported that it drains, and has not reported otherwise since.
     pub draining: bool,
-    /// It has answered a poll in this term with its own report.
+    /// Whether it has answered a poll in this term with its own report.
     pub answered: bool,
-    /// Connections it refused, in a row.
+    /// The number of connections it refused in a row.
     pub refused: u32,
-    /// An operator marked it as leaving.
+    /// Whether an operator marked it as leaving.
     pub marked: bool,
-    /// The leader before said that it is leaving.
-    pub handed: bool,
+    /// Whether the previous leader reported it as leaving.
+    pub inherited: bool,
 }
 
-/// What a poll of an upstream showed.
+/// The answer of an upstream to a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It answered, and takes work.
+    /// It answered and accepts work.
     Serving,
     /// It answered that it drains.
     Draining,
     /// It refused the connection.
     Refused,
-    /// It did not answer in time, or not with what was asked.
-    Nothing,
+    /// It did not answer in time, or not in the expected form.
+    NoAnswer,
 }
 
 impl Answer {
     /// Returns whether the upstream answered at all.
-    pub fn came(self) -> bool {
+    pub fn is_answer(self) -> bool {
         matches!(self, Answer::Serving | Answer::Draining)
     }
 }
@@ -49,19 +49,19 @@
 pub struct Standing {
     /// Whether it gets new work.
     pub standing: UpstreamStanding,
-    /// Why; empty where all is well.
+    /// The reason; empty if nothing is wrong.
     pub why: String,
-    /// Somebody reported that it is leaving, and not merely because it refuses connections.
-    pub told: bool,
+    /// Whether any source reported it as leaving, rather than it merely refusing connections.
+    pub announced: bool,
 }
 
-impl Sighting {
-    /// Takes what a poll showed.
+impl Observation {
+    /// Records the answer to a poll.
     ///
-    /// Draining is sticky: only the upstream's own later report takes it back, which it gives when
-    /// it was restarted. Silence and refused connections do not: a draining upstream ends with
-    /// exactly those.
-    pub fn polled(&mut self, answer: Answer) {
+    /// Draining is sticky: only a later report of the upstream itself clears it, which it sends
+    /// once it was restarted. Silence and refused connections do not clear it, because a draining
+    /// upstream ends with exactly those.
+    pub fn record_poll(&mut self, answer: Answer) {
         match answer {
             Answer::Serving => {
                 self.draining = false;
@@ -74,33 +74,33 @@
                 self.refused = 0;
             }
             Answer::Refused => self.refused = self.refused.saturating_add(1),
-            Answer::Nothing => {}
+            Answer::NoAnswer => {}
         }
     }
 
-    /// Takes an operator's mark. Taking one back is a newer sighting than all before it.
-    pub fn mark(&mut self, leaving: bool) {
+    /// Sets or clears an operator's mark. Clearing it overrides all earlier observations.
+    pub fn set_mark(&mut self, leaving: bool) {
         if self.marked && !leaving {
             self.draining = false;
-            self.handed = false;
+            self.inherited = false;
         }
         self.marked = leaving;
     }
 
-    /// Returns whether this leader has itself seen enough not to need the word of the one before.
-    fn outgrew_handed(&self, reports: bool) -> bool {
+    /// Returns whether this leader's own observations replace the previous leader's report.
+    fn supersedes_inherited(&self, reports: bool) -> bool {
         let platform = self.platform != Some(true);
         platform && if reports { self.answered } else { self.platform.is_some() }
     }
 
-    /// Drops the word of the leader before once this one's own sightings replace it.
-    pub fn settle(&mut self, reports: bool) {
-        if self.handed && self.outgrew_handed(reports) {
-            self.handed = false;
+    /// Drops the previous leader's report once this leader's own observations replace it.
+    pub fn drop_superseded(&mut self, reports: bool) {
+        if self.inherited && self.supersedes_inherited(reports) {
+            self.inherited = false;
         }
     }
 
-    /// Returns why it is leaving by anybody's word.
+    /// Returns why it is leaving, if any source reports so.
     fn leaving(&self, spec: bool) -> Option<&'static str> {
         if spec {
             return Some("the service says it is leaving");
@@ -114,45 +114,45 @@
         if self.draining {
             return Some("it says that it drains");
         }
-        self.handed.then_some("the leader before said it is leaving")
+        self.inherited.then_some("the leader before said it is leaving")
     }
 
     fn is_refusing(&self) -> bool {
-        self.refused >= REFUSALS
+        self.refused >= REFUSAL_THRESHOLD
     }
 }
 
 /// Returns the standing of each upstream of a pool.
 ///
-/// Refused connections alone never empty a pool: an upstream that refuses is no worse than none,
-/// and it may be back before anybody polls it again.
+/// Refused connections alone never empty a pool: an upstream that refuses connections is no worse
+/// than none, and it may be back before the next poll.
 pub fn standings(
     pool: &Pool,
-    sightings: &BTreeMap<UpstreamName, Sighting>,
+    observations: &BTreeMap<UpstreamName, Observation>,
 ) -> BTreeMap<UpstreamName, Standing> {
-    let unseen = Sighting::default();
-    let seen = |name: &UpstreamName| sightings.get(name).unwrap_or(&unseen);
+    let unseen = Observation::default();
+    let seen = |name: &UpstreamName| observations.get(name).unwrap_or(&unseen);
     let others = pool.upstreams.iter().any(|(name, spec)| {
-        let sighting = seen(name);
-        sighting.leaving(spec.leaving).is_none() && !sighting.is_refusing()
+        let observation = seen(name);
+        observation.leaving(spec.leaving).is_none() && !observation.is_refusing()
     });
-    let judge = |sighting: &Sighting, spec: bool| match sighting.leaving(spec) {
+    let standing_of = |observation: &Observation, spec: bool| match observation.leaving(spec) {
         Some(why) => {
             let why = why.to_owned();
-            Standing { standing: UpstreamStanding::Leaving, why, told: true }
+            Standing { standing: UpstreamStanding::Leaving, why, announced: true }
         }
-        None if !sighting.is_refusing() => Standing::default(),
+        None if !observation.is_refusing() => Standing::default(),
         None if others => Standing {
             standing: UpstreamStanding::Leaving,
-            why: format!("it refused {} connections in a row", sighting.refused),
-            told: false,
+            why: format!("it refused {} connections in a row", observation.refused),
+            announced: false,
         },
         None => Standing {
             standing: UpstreamStanding::Live,
             why: "it refuses connections, but its pool has no other".to_owned(),
-            told: false,
+            announced: false,
         },
     };
     let all = pool.upstreams.iter();
-    all.map(|(name, spec)| (name.clone(), judge(seen(name), spec.leaving))).collect()
+    all.map(|(name, spec)| (name.clone(), standing_of(seen(name), spec.leaving))).collect()
 }
--- a/crates/fleet/src/known.rs
+++ b/crates/fleet/src/state.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of the upstreams' standing and load. Nothing here does I/O.
+//! The leader's knowledge of the upstreams' standing and load. Does no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::load::EntryLoads;
 use crate::platform::{Platform, VmList};
 use crate::poll::LoadPoll;
-use crate::standing::{Sighting, Standing, standings};
+use crate::standing::{Observation, Standing, standings};
 
 /// A load report of an upstream.
 #[derive(Clone, Copy, Debug)]
@@ -20,108 +20,109 @@
     at: Instant,
 }
 
-/// Everything seen, and what follows from it.
+/// All observations and the standings derived from them.
 #[derive(Debug, Default)]
-pub(crate) struct Known {
+pub(crate) struct FleetState {
     service: Arc<Service>,
     platform: Platform,
-    trouble: Option<String>,
-    sightings: BTreeMap<UpstreamName, Sighting>,
+    list_error: Option<String>,
+    observations: BTreeMap<UpstreamName, Observation>,
     reported: BTreeMap<UpstreamName, Reported>,
     entries: EntryLoads,
     standings: BTreeMap<UpstreamName, Standing>,
 }
 
-impl Known {
-    /// Takes a version of the service, and all marks. What was seen of an upstream is forgotten
-    /// where its name now stands for another process.
+impl FleetState {
+    /// Takes a version of the service and all marks. Observations of an upstream are dropped if its
+    /// name now refers to another process.
     pub(crate) fn update(&mut self, service: &Arc<Service>, marks: &BTreeSet<UpstreamName>) {
         let same = |name: &UpstreamName| match (service.upstream(name), self.service.upstream(name))
         {
             (Some((_, new)), Some((_, old))) => new.address == old.address && new.vm == old.vm,
-            // A sighting handed over may come before the first service.
+            // An inherited observation may arrive before the first service.
             (Some(_), None) => true,
             (None, _) => false,
         };
         let gone: Vec<UpstreamName> =
-            self.sightings.keys().filter(|name| !same(name)).cloned().collect();
+            self.observations.keys().filter(|name| !same(name)).cloned().collect();
         for name in gone {
-            self.sightings.remove(&name);
+            self.observations.remove(&name);
             self.reported.remove(&name);
         }
         self.service = Arc::clone(service);
         for (name, _) in upstreams(service) {
-            self.sightings.entry(name.clone()).or_default().mark(marks.contains(name));
+            self.observations.entry(name.clone()).or_default().set_mark(marks.contains(name));
         }
         self.apply_platform();
     }
 
-    /// Takes the word of the leader before, from one of its digests.
-    pub(crate) fn hand_over(&mut self, digest: &Digest) {
+    /// Inherits from a digest of the previous leader which upstreams are leaving.
+    pub(crate) fn inherit(&mut self, digest: &Digest) {
         for load in &digest.loads {
-            let sighting = self.sightings.entry(load.upstream.clone()).or_default();
-            sighting.handed = load.standing == UpstreamStanding::Leaving;
+            let observation = self.observations.entry(load.upstream.clone()).or_default();
+            observation.inherited = load.standing == UpstreamStanding::Leaving;
         }
     }
 
-    pub(crate) fn list(&mut self, list: &VmList, now: Instant) {
+    pub(crate) fn take_list(&mut self, list: &VmList, now: Instant) {
         match self.platform.take(list, now) {
-            Ok(()) => self.trouble = None,
-            Err(suspect) => self.ignore_list(suspect.to_string()),
+            Ok(()) => self.list_error = None,
+            Err(fault) => self.ignore_list(fault.to_string()),
         }
         self.apply_platform();
     }
 
-    /// Notes why the platform's list was not taken; says so in the log when the reason is new.
+    /// Records why the platform's list was ignored, and logs the reason if it is new.
     pub(crate) fn ignore_list(&mut self, why: String) {
-        if self.trouble.as_ref() != Some(&why) {
-            log::warn!("the platform's list is ignored: {why}");
+        if self.list_error.as_ref() != Some(&why) {
+            log::warn!("ignoring the platform's list and keeping its last accepted state: {why}");
         }
-        self.trouble = Some(why);
+        self.list_error = Some(why);
     }
 
-    pub(crate) fn trouble(&self) -> Option<String> {
-        self.trouble.clone()
+    pub(crate) fn list_error(&self) -> Option<String> {
+        self.list_error.clone()
     }
 
-    pub(crate) fn polled(&mut self, name: &UpstreamName, poll: LoadPoll, now: Instant) {
-        let Some(sighting) = self.sightings.get_mut(name) else {
+    pub(crate) fn record_poll(&mut self, name: &UpstreamName, poll: LoadPoll, now: Instant) {
+        let Some(observation) = self.observations.get_mut(name) else {
             return;
         };
-        sighting.polled(poll.answer);
+        observation.record_poll(poll.answer);
         if let Some(calls) = poll.calls {
             self.reported.insert(name.clone(), Reported { calls, at: now });
         }
     }
 
-    pub(crate) fn report(&mut self, report: LoadReport, now: Instant) {
+    pub(crate) fn take_report(&mut self, report: LoadReport, now: Instant) {
         self.entries.take(report, now);
     }
 
-    /// Judges every upstream anew, and logs what changed.
-    pub(crate) fn judge(&mut self, now: Instant) {
+    /// Updates the standing of every upstream and logs the changes.
+    pub(crate) fn update_standings(&mut self, now: Instant) {
         self.entries.expire(now);
         for (name, spec) in upstreams(&self.service) {
-            if let Some(sighting) = self.sightings.get_mut(name) {
-                sighting.settle(spec.reports);
+            if let Some(observation) = self.observations.get_mut(name) {
+                observation.drop_superseded(spec.reports);
             }
         }
         let pools = self.service.pools.values();
-        let judged: BTreeMap<UpstreamName, Standing> =
-            pools.flat_map(|pool| standings(pool, &self.sightings)).collect();
-        for (name, standing) in &judged {
+        let current: BTreeMap<UpstreamName, Standing> =
+            pools.flat_map(|pool| standings(pool, &self.observations)).collect();
+        for (name, standing) in &current {
             let before = self.standings.get(name).map(|it| it.standing).unwrap_or_default();
             if before != standing.standing {
-                log::info!(upstream = name.to_string(); "{:?}: {}", standing.standing, standing.why);
+                log::info!(upstream = name.to_string();
+                    "standing changed to {:?}: {}", standing.standing, standing.why);
             }
         }
-        self.standings = judged;
+        self.standings = current;
     }
 
-    /// Returns the upstreams that are leaving by anybody's word.
+    /// Returns the upstreams that any source reported as leaving.
     pub(crate) fn leaving(&self) -> BTreeSet<UpstreamName> {
-        let told = self.standings.iter().filter(|(_, it)| it.told);
-        told.map(|(name, _)| name.clone()).collect()
+        let announced = self.standings.iter().filter(|(_, it)| it.announced);
+        announced.map(|(name, _)| name.clone()).collect()
     }
 
     pub(crate) fn entries(&self) -> u32 {
@@ -166,8 +167,8 @@
 
     fn apply_platform(&mut self) {
         for (name, spec) in upstreams(&self.service) {
-            if let Some(sighting) = self.sightings.get_mut(name) {
-                sighting.platform = self.platform.is_leaving(&spec.vm);
+            if let Some(observation) = self.observations.get_mut(name) {
+                observation.platform = self.platform.is_leaving(&spec.vm);
             }
         }
     }
--- a/crates/fleet/src/target.rs
+++ b/crates/fleet/src/target.rs
@@ -1,26 +1,26 @@
-//! What an upstream should have loaded.
+//! The state that an upstream should have loaded.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use types::{ModelName, Service, Upstream};
 
-/// The absolute target of an order: it says what shall be, not what shall change, so that sending
-/// it again does nothing more.
+/// The absolute target of an order: it states the desired state, not a change, so that sending it
+/// again is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The model.
     pub model: ModelName,
     /// The version of its weights.
     pub version: String,
-    /// The adapters beside it, sorted.
+    /// The adapters loaded with it, sorted.
     pub adapters: Vec<String>,
-    /// The role; empty where the service names none.
+    /// The role; empty if the service sets none.
     pub role: String,
 }
 
 impl Target {
-    /// Returns what `upstream` should have loaded; `None` where the service leaves it alone.
+    /// Returns what `upstream` should have loaded, or `None` if the service does not control it.
     pub fn of(service: &Service, upstream: &Upstream) -> Option<Self> {
         let name = upstream.model.as_ref()?;
         let model = service.models.get(name)?;
--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions alone, as tables of cases.
+//! Tables of cases for the decisions, without I/O.
 
 mod common;
 
@@ -10,9 +10,9 @@
 use fleet::bucket::WeightBucket;
 use fleet::digest::DigestMaker;
 use fleet::load::EntryLoads;
-use fleet::plan::{Engine, LoadState, Plan, ReadBack, Step};
-use fleet::platform::{ListedVm, Platform, Suspect, VmList, VmState};
-use fleet::standing::{Answer, Sighting, standings};
+use fleet::plan::{Decision, Engine, LoadState, Plan, ReadBack};
+use fleet::platform::{ListFault, ListedVm, Platform, VmList, VmState};
+use fleet::standing::{Answer, Observation, standings};
 use types::UpstreamStanding::{Leaving, Live};
 use types::{
     ByteSize, Fence, Fencing, Incarnation, Millis, Rate, Service, UpstreamLoad, UpstreamStanding,
@@ -30,31 +30,31 @@
     struct Case {
         at: u64,
         list: VmList,
-        taken: Result<(), Suspect>,
+        taken: Result<(), ListFault>,
         leaving: Option<bool>,
     }
-    let old = |now| Err(Suspect::Old { now, before: 5 });
-    let shrunken = Err(Suspect::Shrunken { now: 1, before: 3 });
+    let old = |now| Err(ListFault::Old { now, before: 5 });
+    let shrunken = Err(ListFault::Shrunken { now: 1, before: 3 });
     let three = |state| [("a", state), ("b", Live), ("c", Live)];
     let cases = [
-        Case { at: 0, list: list(1, &[]), taken: Err(Suspect::Empty), leaving: None },
+        Case { at: 0, list: list(1, &[]), taken: Err(ListFault::Empty), leaving: None },
         Case { at: 1, list: list(2, &three(Live)), taken: Ok(()), leaving: Some(false) },
         Case { at: 2, list: list(3, &three(Leaving)), taken: Ok(()), leaving: Some(true) },
-        // Equal numbers do not take it back, nor does being absent.
+        // Neither a list with an equal number nor one without the VM clears it.
         Case { at: 3, list: list(3, &three(Live)), taken: Ok(()), leaving: Some(true) },
         Case { at: 4, list: list(4, &three(Live)[1..]), taken: Ok(()), leaving: Some(true) },
         Case { at: 5, list: list(5, &three(Leaving)), taken: Ok(()), leaving: Some(true) },
         Case { at: 6, list: list(4, &three(Live)), taken: old(4), leaving: Some(true) },
-        Case { at: 7, list: list(6, &[]), taken: Err(Suspect::Empty), leaving: Some(true) },
+        Case { at: 7, list: list(6, &[]), taken: Err(ListFault::Empty), leaving: Some(true) },
         Case { at: 8, list: list(6, &[("a", Live)]), taken: shrunken, leaving: Some(true) },
         Case { at: 9, list: list(7, &three(Live)), taken: Ok(()), leaving: Some(false) },
         Case { at: 10, list: list(8, &three(Leaving)), taken: Ok(()), leaving: Some(true) },
-        // A platform that numbers anew is believed after a while, and then takes back by a higher
-        // number only.
+        // A platform that restarts its numbering is accepted after a while, and clears the state
+        // only with a higher number.
         Case {
             at: 11,
             list: list(1, &three(Live)),
-            taken: Err(Suspect::Old { now: 1, before: 8 }),
+            taken: Err(ListFault::Old { now: 1, before: 8 }),
             leaving: Some(true),
         },
         Case { at: 71, list: list(1, &three(Live)), taken: Ok(()), leaving: Some(true) },
@@ -73,61 +73,61 @@
 fn who_gets_new_work() {
     struct Case {
         name: &'static str,
-        seen: fn(&mut Sighting),
+        seen: fn(&mut Observation),
         standing: UpstreamStanding,
     }
-    let refuse = |it: &mut Sighting| (0..3).for_each(|_| it.polled(Answer::Refused));
+    let refuse = |it: &mut Observation| (0..3).for_each(|_| it.record_poll(Answer::Refused));
     let cases = [
         Case { name: "nothing seen", seen: |_| {}, standing: Live },
         Case { name: "platform", seen: |it| it.platform = Some(true), standing: Leaving },
         Case { name: "absent", seen: |it| it.platform = None, standing: Live },
-        Case { name: "mark", seen: |it| it.mark(true), standing: Leaving },
-        Case { name: "drain", seen: |it| it.polled(Answer::Draining), standing: Leaving },
+        Case { name: "mark", seen: |it| it.set_mark(true), standing: Leaving },
+        Case { name: "drain", seen: |it| it.record_poll(Answer::Draining), standing: Leaving },
         Case {
             name: "drain, then silence",
             seen: |it| {
-                it.polled(Answer::Draining);
-                it.polled(Answer::Nothing);
-                it.polled(Answer::Refused);
+                it.record_poll(Answer::Draining);
+                it.record_poll(Answer::NoAnswer);
+                it.record_poll(Answer::Refused);
             },
             standing: Leaving,
         },
         Case {
             name: "drain, then its own word",
             seen: |it| {
-                it.polled(Answer::Draining);
-                it.polled(Answer::Serving);
+                it.record_poll(Answer::Draining);
+                it.record_poll(Answer::Serving);
             },
             standing: Live,
         },
         Case {
             name: "drain, then a mark taken back",
             seen: |it| {
-                it.polled(Answer::Draining);
-                it.mark(true);
-                it.mark(false);
+                it.record_poll(Answer::Draining);
+                it.set_mark(true);
+                it.set_mark(false);
             },
             standing: Live,
         },
-        Case { name: "refused once", seen: |it| it.polled(Answer::Refused), standing: Live },
+        Case { name: "refused once", seen: |it| it.record_poll(Answer::Refused), standing: Live },
         Case { name: "refused", seen: refuse, standing: Leaving },
-        Case { name: "handed over", seen: |it| it.handed = true, standing: Leaving },
+        Case { name: "handed over", seen: |it| it.inherited = true, standing: Leaving },
         Case {
             name: "handed over, then its own word",
             seen: |it| {
-                it.handed = true;
-                it.polled(Answer::Serving);
-                it.settle(true);
+                it.inherited = true;
+                it.record_poll(Answer::Serving);
+                it.drop_superseded(true);
             },
             standing: Live,
         },
         Case {
             name: "handed over, then its word, but not the platform's",
             seen: |it| {
-                it.handed = true;
+                it.inherited = true;
                 it.platform = Some(true);
-                it.polled(Answer::Serving);
-                it.settle(true);
+                it.record_poll(Answer::Serving);
+                it.drop_superseded(true);
             },
             standing: Leaving,
         },
@@ -137,19 +137,24 @@
     let service = service("v1", &[("one", spec.clone()), ("two", spec)]);
     let pool = service.pools.values().next().unwrap();
     for case in cases {
-        let mut sighting = Sighting::default();
-        (case.seen)(&mut sighting);
-        let mut sightings = BTreeMap::from([(name("one"), sighting)]);
-        let judged = standings(pool, &sightings);
+        let mut observation = Observation::default();
+        (case.seen)(&mut observation);
+        let mut observations = BTreeMap::from([(name("one"), observation)]);
+        let judged = standings(pool, &observations);
         assert_eq!(judged[&name("one")].standing, case.standing, "{}", case.name);
         assert_eq!(judged[&name("two")].standing, Live, "{}", case.name);
-        // Refused connections alone never take the last one of a pool.
-        let mut other = Sighting::default();
+        // Refused connections alone never remove the last upstream of a pool.
+        let mut other = Observation::default();
         refuse(&mut other);
-        sightings.insert(name("two"), other);
-        let all_refuse = sightings[&name("one")].refused >= 3;
+        observations.insert(name("two"), other);
+        let all_refuse = observations[&name("one")].refused >= 3;
         let expected = if all_refuse || case.standing == Leaving { Live } else { Leaving };
-        assert_eq!(standings(pool, &sightings)[&name("two")].standing, expected, "{}", case.name);
+        assert_eq!(
+            standings(pool, &observations)[&name("two")].standing,
+            expected,
+            "{}",
+            case.name
+        );
     }
 }
 
@@ -179,14 +184,15 @@
         case(0, "x", 1, 1, &[("a", 3)], true, [3, 0], 1),
         case(0, "y", 1, 1, &[("a", 1), ("b", 2)], true, [4, 2], 2),
         case(1, "x", 1, 2, &[("b", 5)], false, [4, 7], 2),
-        // A change is told against the last full report: `b` is back to nothing.
+        // A partial report is relative to the last full one: `b` is back to zero.
         case(1, "x", 1, 3, &[("a", 2)], false, [3, 2], 2),
         case(1, "x", 1, 2, &[("a", 9)], true, [3, 2], 2),
         case(2, "x", 1, 4, &[], true, [1, 2], 2),
-        // A new life starts with a full report; one of the life before comes too late.
+        // A new incarnation starts with a full report; a report of the previous one arrives too
+        // late.
         case(3, "x", 2, 1, &[("a", 1)], true, [2, 2], 2),
         case(3, "x", 1, 9, &[("a", 9)], false, [2, 2], 2),
-        // `y` was not heard of for too long.
+        // `y` has not reported for too long.
         case(6, "x", 2, 2, &[("a", 4)], true, [4, 0], 1),
     ];
     let mut loads = EntryLoads::default();
@@ -226,7 +232,7 @@
     let delta = maker.make(&loads, 2, start).unwrap();
     assert_eq!((delta.sequence, delta.loads), (12, vec![load(7, 4, Live)]));
 
-    // Everything changes; what errs most goes first, a changed standing before all.
+    // Everything changes: a changed standing comes first, then the largest changes.
     for (index, it) in loads.iter_mut().enumerate() {
         it.in_flight += 1 + index as u32;
     }
@@ -247,7 +253,7 @@
     loads[3].standing = Leaving;
     loads.iter_mut().for_each(|it| it.reported = Some(0));
     maker.make(&loads, 8, start).expect("the full one");
-    // Each was polled again meanwhile: the same word, and fresh.
+    // Each upstream was polled again with the same result, so the reports are fresh.
     assert_eq!(maker.make(&loads, 8, at(1)), None);
     let named = maker.make(&loads, 8, at(2)).expect("the leaving one").loads;
     assert_eq!(named, [loads[3].clone()]);
@@ -273,9 +279,9 @@
     assert!(!bucket.is_open(rate, start + Duration::from_secs(1_009)));
 }
 
-/// Symptom: an engine that was never ordered is not ordered either: "what it shows is not read yet".
-/// Sequence: it starts without a model and shows its fields as null.
-/// Cause: only texts were taken, and an engine that is not read gets no order.
+/// Guards against an engine that never gets its first order and shows "what it shows is not read
+/// yet". It starts without a model and shows its fields as null. If only strings were accepted, it
+/// could not be read, and an engine that is not read gets no order.
 #[test]
 fn an_engine_that_shows_nothing_is_read() {
     let bare = r#"{"state": "ready"}"#;
@@ -392,27 +398,27 @@
         let spec = upstream(address, "a", case.fencing);
         let service = service("v2", &[("one", spec.clone())]);
         let target = Target::of(&service, &spec).unwrap();
-        let led = Instant::now();
+        let leading_since = Instant::now();
         let mut engine = Engine::default();
-        (case.seen)(&mut engine, &target, led);
-        let now = led + Duration::from_millis(case.after);
-        let plan = Plan { service: &service, leaving: &BTreeSet::new(), led, now };
-        let step = match plan.step(&name("one"), &spec, &engine) {
-            Step::Done => "done",
-            Step::Wait(why) => why,
-            Step::Order { .. } => "order",
+        (case.seen)(&mut engine, &target, leading_since);
+        let now = leading_since + Duration::from_millis(case.after);
+        let plan = Plan { service: &service, leaving: &BTreeSet::new(), leading_since, now };
+        let step = match plan.decide(&name("one"), &spec, &engine) {
+            Decision::Done => "done",
+            Decision::Wait(why) => why,
+            Decision::Order { .. } => "order",
         };
         assert_eq!(step, case.step, "{}", case.name);
         let leaving = BTreeSet::from([name("one")]);
         let plan = Plan { leaving: &leaving, ..plan };
-        let step = plan.step(&name("one"), &spec, &engine);
-        assert!(!matches!(step, Step::Order { .. }), "{}, and leaving", case.name);
+        let step = plan.decide(&name("one"), &spec, &engine);
+        assert!(!matches!(step, Decision::Order { .. }), "{}, and leaving", case.name);
     }
 }
 
-/// Symptom: a new version of a model takes its whole pool out of service.
-/// Sequence: all engines of the pool show the old version and could be ordered at once.
-/// Cause would be: orders decided for each engine alone.
+/// Guards against a new version of a model that takes its whole pool out of service. All engines of
+/// the pool show the old version and could get an order at once, so orders must not be decided for
+/// each engine alone.
 #[test]
 fn a_pool_is_loaded_a_share_at_a_time() {
     let address = "127.0.0.1:9".parse().unwrap();
@@ -434,16 +440,16 @@
     let mut bucket = WeightBucket::new(start);
     let mut round = |known: &BTreeMap<_, Engine>, after: u64| -> Vec<String> {
         let now = start + Duration::from_secs(after);
-        let plan = Plan { service: &service, leaving: &leaving, led: start, now };
-        let orders = plan.next(known, &mut bucket);
+        let plan = Plan { service: &service, leaving: &leaving, leading_since: start, now };
+        let orders = plan.next_orders(known, &mut bucket);
         orders.into_iter().map(|it| it.upstream.to_string()).collect()
     };
-    // One that serves nothing goes first, and the store takes one load at a time.
+    // An engine that serves nothing goes first, and the store allows one load at a time.
     assert_eq!(round(&known, 1), ["e8"]);
     known.get_mut(&name("e8")).unwrap().begin(target.clone());
     assert_eq!(round(&known, 2), ["e1"]);
     known.get_mut(&name("e1")).unwrap().begin(target.clone());
-    // A quarter of nine loads: the next waits, until one of the two serves again.
+    // A quarter of nine engines load: the next one waits until one of the two serves again.
     assert_eq!(round(&known, 3), Vec::<String>::new());
     let first = known.get_mut(&name("e8")).unwrap();
     first.end(false, start);
