--- a/crates/fleet/examples/polls.rs
+++ b/crates/fleet/examples/polls.rs
@@ -1,5 +1,5 @@
-//! Measures what leading costs the fleet at the planned size: processor time of its one thread, and
-//! the bytes of its digests, on loopback.
+//! Measures the cost of leading a fleet of the planned size on loopback: the processor time of its
+//! one thread, and the bytes of its digests.
 //!
 //! `cargo run --release -p mothplank-fleet --example polls`
 #![allow(clippy::print_stdout, clippy::unwrap_used)]
@@ -25,23 +25,24 @@
 
 const ENTRIES: usize = 380;
 
-/// How many upstreams have calls of one entry.
-const BUSY: usize = 20;
+/// The number of upstreams that have calls of one entry.
+const BUSY_UPSTREAMS: usize = 20;
 
 /// How often an entry reports.
 const REPORT_PERIOD: Duration = Duration::from_millis(500);
 
-/// In how many bursts the reports of a period come. One by one they would wake the thread hundreds of
-/// times a second, and that is the cost of the socket they come from, not of the fleet.
+/// The number of bursts in which the reports of a period arrive. If they arrived one by one, they
+/// would wake the thread hundreds of times per second, which is the cost of the socket they come
+/// from, not of the fleet.
 const BURSTS: usize = 10;
 
-const SETTLE: Duration = Duration::from_secs(10);
+const WARM_UP: Duration = Duration::from_secs(10);
 
-const MEASURE: Duration = Duration::from_secs(20);
+const MEASUREMENT: Duration = Duration::from_secs(20);
 
-struct Alone;
+struct LocalAuthority;
 
-impl Authority for Alone {
+impl Authority for LocalAuthority {
     async fn fence(&self, _: &UpstreamName, _: &Target) -> StepResult<Fence> {
         Ok(Fence(1))
     }
@@ -59,7 +60,7 @@
     runtime.block_on(lead(&addresses));
 }
 
-/// Serves the upstreams on a thread of their own.
+/// Serves the upstreams on their own thread.
 fn upstreams(sender: &std::sync::mpsc::Sender<Vec<SocketAddr>>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
@@ -87,7 +88,7 @@
 }
 
 async fn lead(addresses: &[SocketAddr]) {
-    let (fleet, mut digests) = Fleet::spawn(FleetConfig::default(), Alone);
+    let (fleet, mut digests) = Fleet::spawn(FleetConfig::default(), LocalAuthority);
     fleet.lead(Arc::new(service(addresses)));
     let names: Vec<UpstreamName> = (0..UPSTREAMS).map(name).collect();
     let entries: Vec<VmName> = (0..ENTRIES).map(|it| format!("vm-{it}").parse().unwrap()).collect();
@@ -95,8 +96,8 @@
     let (mut sequence, mut bytes, mut loads) = (0, 0, 0);
     let (mut started, mut spent) = (None, Duration::ZERO);
     let start = Instant::now();
-    while start.elapsed() < SETTLE + MEASURE {
-        if started.is_none() && start.elapsed() >= SETTLE {
+    while start.elapsed() < WARM_UP + MEASUREMENT {
+        if started.is_none() && start.elapsed() >= WARM_UP {
             started = Some(Instant::now());
             (spent, bytes, loads) = (thread_time(), 0, 0);
         }
@@ -128,7 +129,7 @@
         vm: entries[entry].clone(),
         owner: Incarnation(1),
         sequence: 1 + sequence / entries.len() as u64,
-        in_flight: (0..BUSY).map(upstream).collect(),
+        in_flight: (0..BUSY_UPSTREAMS).map(upstream).collect(),
         full: true,
     }
 }
@@ -158,8 +159,8 @@
     format!("engine-{index}").parse().unwrap()
 }
 
-/// Returns the processor time of this thread, of user and system, from its status file: the 14th and
-/// 15th field, in hundredths of a second.
+/// Returns the user and system time of this thread from its `stat` file: the 14th and 15th fields,
+/// in hundredths of a second.
 fn thread_time() -> Duration {
     let stat = std::fs::read_to_string("/proc/thread-self/stat").unwrap();
     let fields = stat.rsplit(')').next().unwrap().split_whitespace();
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams, a platform and an authority played by the tests.
+//! Upstreams, a platform and an authority for the tests.
 #![allow(dead_code)]
 
 use std::convert::Infallible;
@@ -21,7 +21,7 @@
     UpstreamName,
 };
 
-const CAP: Duration = Duration::from_secs(60);
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
 /// Waits until `condition` holds.
 pub(crate) async fn until(what: &str, condition: impl Fn() -> bool) {
@@ -30,23 +30,23 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let held = tokio::time::timeout(CAP, waited).await;
+    let held = tokio::time::timeout(WAIT_LIMIT, waited).await;
     held.unwrap_or_else(|_| panic!("never happened: {what}"));
 }
 
-/// An order that an engine received, and whether it took it.
+/// An order that an engine received, and whether it accepted it.
 #[derive(Clone, Debug)]
 pub(crate) struct Received {
     pub(crate) at: Instant,
     pub(crate) fence: u64,
     pub(crate) version: String,
-    pub(crate) taken: bool,
+    pub(crate) accepted: bool,
 }
 
-/// An engine, and the platform too.
+/// A fake HTTP server that acts as an engine and as the platform.
 pub(crate) struct Fake {
     pub(crate) address: SocketAddr,
-    checks: bool,
+    checks_fencing: bool,
     shown: Mutex<Value>,
     received: Mutex<Vec<Received>>,
     pub(crate) draining: AtomicBool,
@@ -54,13 +54,13 @@
 }
 
 impl Fake {
-    pub(crate) async fn spawn(checks: bool, fence: u64) -> Arc<Self> {
+    pub(crate) async fn spawn(checks_fencing: bool, fence: u64) -> Arc<Self> {
         let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let shown = json!({"fence": fence, "model": "m", "version": "v1", "adapters": [],
             "role": "both", "state": "ready"});
         let fake = Arc::new(Self {
             address: socket.local_addr().unwrap(),
-            checks,
+            checks_fencing,
             shown: Mutex::new(shown),
             received: Mutex::default(),
             draining: AtomicBool::new(false),
@@ -79,19 +79,19 @@
         fake
     }
 
-    /// Takes an order, from the fleet or by hand.
+    /// Applies an order, from the fleet or from a test. Returns whether it was accepted.
     pub(crate) fn order(&self, order: &Value) -> bool {
         let mut shown = self.shown.lock().unwrap();
         let fence = order["fence"].as_u64().unwrap();
-        let taken = !self.checks || fence >= shown["fence"].as_u64().unwrap();
-        if taken {
+        let accepted = !self.checks_fencing || fence >= shown["fence"].as_u64().unwrap();
+        if accepted {
             *shown = order.clone();
             shown["state"] = json!("ready");
         }
         let version = order["version"].as_str().unwrap().to_owned();
-        let received = Received { at: Instant::now(), fence, version, taken };
+        let received = Received { at: Instant::now(), fence, version, accepted };
         self.received.lock().unwrap().push(received);
-        taken
+        accepted
     }
 
     pub(crate) fn version(&self) -> String {
@@ -102,7 +102,7 @@
         self.received.lock().unwrap().clone()
     }
 
-    pub(crate) fn say(&self, list: Value) {
+    pub(crate) fn set_list(&self, list: Value) {
         *self.list.lock().unwrap() = list;
     }
 }
@@ -133,7 +133,7 @@
     Ok(Response::builder().status(status).body(body).unwrap())
 }
 
-/// The replicated state, as one member believes it.
+/// The replicated state as one member sees it.
 #[derive(Clone, Default)]
 pub(crate) struct Quorum {
     pub(crate) fence: Arc<AtomicU64>,
@@ -173,7 +173,7 @@
     }
 }
 
-/// A service with one pool of engines that shall have `version`.
+/// Returns a service with one pool of engines whose target is `version`.
 pub(crate) fn service(version: &str, engines: &[(&str, Upstream)]) -> Service {
     let mut service = Service::default();
     let model = Model { version: version.to_owned(), ..Model::default() };
--- a/crates/fleet/tests/sightings.rs
+++ b/crates/fleet/tests/observations.rs
@@ -1,4 +1,4 @@
-//! Standing and load over HTTP, from the platform, upstreams, operators and entries to a digest.
+//! Standing and load over HTTP: from the platform, upstreams, operators and entries to a digest.
 
 mod common;
 
@@ -18,15 +18,15 @@
     fleet.view().upstreams.get(&name(upstream)).map(|it| it.standing)
 }
 
-/// Symptom: work goes to an upstream that is leaving, or none goes anywhere.
-/// Sequence: the platform says leaving, then loses its state and says nothing, then lists anew.
-/// Cause would be: the latest list taken at its word.
+/// Guards against work for an upstream that is leaving, and against a pool that gets no work at
+/// all. The platform reports the upstream as leaving, then loses its state and sends an empty list,
+/// then lists anew: the latest list must not be accepted as it is.
 #[tokio::test]
 async fn leaving_is_sticky_and_an_empty_list_is_ignored() {
     let (one, two, platform) =
         (Fake::spawn(true, 0).await, Fake::spawn(true, 0).await, { Fake::spawn(true, 0).await });
     let list = |sequence: u64, state: &str| json!({"sequence": sequence, "vms": [{"vm": "a", "state": state}]});
-    platform.say(list(1, "live"));
+    platform.set_list(list(1, "live"));
     let config = FleetConfig { platform: Some(platform.address) };
     let (fleet, _digests) = Fleet::spawn(config, Quorum::default());
     let engines = [
@@ -36,12 +36,12 @@
     fleet.lead(Arc::new(service("v1", &engines)));
     until("both live", || standing(&fleet, "one") == Some(Live)).await;
 
-    platform.say(list(2, "leaving"));
+    platform.set_list(list(2, "leaving"));
     until("one leaves", || standing(&fleet, "one") == Some(Leaving)).await;
-    platform.say(json!({"sequence": 3, "vms": []}));
+    platform.set_list(json!({"sequence": 3, "vms": []}));
     until("the list is ignored", || fleet.view().platform.is_some()).await;
     assert_eq!(standing(&fleet, "one"), Some(Leaving));
-    platform.say(list(4, "live"));
+    platform.set_list(list(4, "live"));
     until("one is back", || standing(&fleet, "one") == Some(Live)).await;
 
     two.draining.store(true, Ordering::SeqCst);
@@ -74,9 +74,9 @@
     assert_eq!((load.in_flight, load.reported, load.standing), (7, Some(3), Live));
 }
 
-/// Symptom: after a change of leader, work goes to an upstream that was leaving.
-/// Sequence: the new leader has asked nobody yet, and the upstream does not answer any more.
-/// Cause would be: a new leader that starts from nothing.
+/// Guards against work for an upstream that was leaving, after a change of leader. The new leader
+/// has polled nobody yet and the upstream no longer answers, so the leader must not start from
+/// nothing.
 #[tokio::test]
 async fn a_new_leader_goes_on_from_what_was_leaving() {
     let (fleet, mut digests) = Fleet::spawn(FleetConfig::default(), Quorum::default());
--- a/crates/fleet/tests/orders.rs
+++ b/crates/fleet/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders over HTTP: fencing, quorum, wait-out, repetition.
+//! Orders over HTTP: fencing, confirmation by a quorum, waiting for earlier orders, repetition.
 
 mod common;
 
@@ -15,9 +15,9 @@
     fleet.view().upstreams.get(&name("engine")).is_some_and(|it| it.order.is_empty())
 }
 
-/// Symptom: an engine goes back to what an earlier leader wanted.
-/// Sequence: a leader whose numbers are behind orders; the engine has seen a higher one.
-/// Cause would be: a refused order that counts as done, or that is sent under the same number.
+/// Guards against an engine that returns to what an earlier leader wanted. A leader whose fencing
+/// numbers are behind sends an order, but the engine has seen a higher number: the refused order
+/// must not count as done, and must not be sent again under the same number.
 #[tokio::test]
 async fn an_old_fence_is_refused_and_a_higher_one_is_taken() {
     let engine = Fake::spawn(true, 5).await;
@@ -28,15 +28,15 @@
     fleet.lead(Arc::new(service("v2", &[("engine", spec)])));
     until("the engine shows the target", || engine.version() == "v2").await;
     let received = engine.received();
-    assert_eq!((received[0].fence, received[0].taken), (4, false));
-    assert!(received.iter().all(|it| it.taken == (it.fence >= 5)), "{received:?}");
+    assert_eq!((received[0].fence, received[0].accepted), (4, false));
+    assert!(received.iter().all(|it| it.accepted == (it.fence >= 5)), "{received:?}");
     until("nothing is left to order", || is_settled(&fleet)).await;
 }
 
-/// Symptom: an engine that ignores fencing numbers serves under an earlier leader's order for good.
-/// Sequence: a leader is frozen right after its quorum's confirmation; another one takes over, orders, and
-/// reads its target back; the frozen one thaws and its order arrives.
-/// Cause would be: a leader that stops reading once its target was shown, or orders too early.
+/// Guards against an engine that ignores fencing numbers and serves under an earlier leader's order
+/// for good. A leader is frozen right after its quorum's confirmation; another one takes over,
+/// sends its order and reads its target back; then the frozen leader resumes and its order arrives.
+/// The new leader must not order too early, and must keep reading after its target was shown.
 #[tokio::test]
 async fn an_ignoring_engine_ends_with_the_new_leaders_target() {
     let engine = Fake::spawn(false, 0).await;
@@ -56,18 +56,18 @@
     let late = json!({"fence": 0, "model": "m", "version": "v1", "adapters": [], "role": "both"});
     assert!(engine.order(&late));
     until("the engine is ordered again", || engine.version() == "v2").await;
-    // One of those received is the late one.
+    // One of the received orders is the late one.
     assert!(confirmed() >= engine.received().len() - 1);
     until("nothing is left to order", || is_settled(&fleet)).await;
 
-    // Cut off from its quorum it orders nothing, whatever it believes.
+    // Without its quorum it sends no order, although it still believes that it leads.
     quorum.lost.store(true, Ordering::SeqCst);
     engine.order(&late);
     let refused = || fleet.view().upstreams[&name("engine")].order.contains("no quorum");
     until("the order is refused", refused).await;
     assert_eq!(engine.version(), "v1");
 
-    // And nothing once it follows, although a quorum would answer again.
+    // Nor does it once it follows, although a quorum would answer again.
     fleet.follow();
     quorum.lost.store(false, Ordering::SeqCst);
     until("it follows", || !fleet.view().leading).await;
