--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -26,7 +26,7 @@
     extra_calls: IntCounterVec,
     claims: IntCounterVec,
     /// The number of requests in flight.
-    pub(crate) under_way: IntGauge,
+    pub(crate) in_flight: IntGauge,
     /// The number of connections from callers.
     pub(crate) connections: IntGauge,
 }
@@ -77,7 +77,7 @@
                 &["pool", "kind"],
             ),
             claims: counter("mothplank_claims_total", "Claims by answer", &["answer"]),
-            under_way: gauge("mothplank_requests_under_way", "Requests under way"),
+            in_flight: gauge("mothplank_requests_under_way", "Requests under way"),
             connections: gauge("mothplank_caller_connections", "Connections from callers"),
             bytes: ByteCounters::open(&registry).ok(),
             registry,
--- a/crates/entry/src/ops.rs
+++ b/crates/entry/src/ops.rs
@@ -30,7 +30,7 @@
 /// Returns the metrics.
 pub(crate) async fn metrics<S: Session>(context: &Context<'_, S>) -> WebResponse {
     let core = context.state();
-    core.metrics.under_way.set(core.drain.in_flight() as i64);
+    core.metrics.in_flight.set(core.drain.in_flight() as i64);
     core.metrics.connections.set(core.connections.len() as i64);
     page(StatusCode::OK, "text/plain; version=0.0.4", core.metrics.encode())
 }
--- a/crates/entry/src/tasks.rs
+++ b/crates/entry/src/tasks.rs
@@ -81,7 +81,7 @@
     );
 }
 
-/// Puts a service version in force, unless the current one is as new.
+/// Puts a service version in force, unless the current one is as new or newer.
 fn install<S: Session>(core: &Core<S>, snapshot: Arc<Snapshot>) {
     let version = snapshot.service.version;
     let current = core.view.load().as_ref().map(|it| it.service().version);
--- a/crates/entry/tests/path.rs
+++ b/crates/entry/tests/path.rs
@@ -135,9 +135,9 @@
     entry.drain().await;
 }
 
-/// Guards against a minute of late requests after a middlebox between entry and upstream has
-/// dropped its connections. Eight connections are open and all go silent at once, while new ones
-/// work. One request finds that out; six more follow at once. They would be late if each took
+/// Guards against a minute of late requests after a middlebox between entry and upstream has lost
+/// the state of its connections. Eight connections are open and all go silent at once, while new
+/// ones work. One request finds that out; six more follow at once. They would be late if each took
 /// another of the kept connections and waited out its limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn only_one_request_meets_a_silent_connection() {
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -93,7 +93,7 @@
 pub struct Engine {
     shown: Option<ReadBack>,
     was_read: bool,
-    under_way: Option<Target>,
+    in_flight: Option<Target>,
     last: Option<LastOrder>,
     failures: u32,
     // Since when it has been loading something other than its target.
@@ -144,7 +144,7 @@
         let Some(target) = Target::of(self.service, upstream) else {
             return Decision::Done;
         };
-        if engine.under_way.is_some() {
+        if engine.in_flight.is_some() {
             return Decision::Wait("an order is under way");
         }
         if self.leaving.contains(name) {
@@ -257,7 +257,7 @@
 
     /// Returns whether an order to the engine is in flight.
     pub fn is_ordered(&self) -> bool {
-        self.under_way.is_some()
+        self.in_flight.is_some()
     }
 
     /// Records what the engine shows; `target` is what it should show. Returns whether the engine
@@ -282,12 +282,12 @@
 
     /// Records that an order is being sent.
     pub fn begin(&mut self, target: Target) {
-        self.under_way = Some(target);
+        self.in_flight = Some(target);
     }
 
     /// Records that an order ended. What the engine shows must be read again, whatever the result.
     pub fn end(&mut self, failed: bool, now: Instant) {
-        self.last = self.under_way.take().map(|target| LastOrder { target, at: now, failed });
+        self.last = self.in_flight.take().map(|target| LastOrder { target, at: now, failed });
         self.failures = if failed { self.failures.saturating_add(1) } else { self.failures };
         self.shown = None;
         self.other_load_since = None;
@@ -320,7 +320,7 @@
     /// that accepted an order and has not answered since also counts, for a while: a version that
     /// crashes engines must not reach the next one at once.
     fn is_loading(&self, now: Instant) -> bool {
-        if self.under_way.is_some() {
+        if self.in_flight.is_some() {
             return true;
         }
         match &self.shown {
