--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -211,7 +211,7 @@
         let result = run::run(self.core, request, &mut progress, &mut sink).await;
         let ending = match result {
             Ok(complete) => Ending::Complete(Arc::new(complete)),
-            Err(error) if !progress.may_have_run_once() => {
+            Err(error) if !progress.non_repeatable_may_have_run() => {
                 return self.give_up(request, granted, &progress, error).await;
             }
             Err(error) if error.reason == Reason::CallLost => Ending::Problem(call_lost(error)),
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -242,7 +242,7 @@
     }
 
     /// Returns whether the non-repeatable call may have run.
-    pub fn may_have_run_once(&self) -> bool {
+    pub fn non_repeatable_may_have_run(&self) -> bool {
         self.once_sent
     }
 
--- a/crates/entry/src/step.rs
+++ b/crates/entry/src/step.rs
@@ -246,7 +246,7 @@
         attempts: &mut Attempts,
         progress: &Progress,
     ) -> Result<Retry, RequestError> {
-        if !self.stage.repeatable && progress.may_have_run_once() {
+        if !self.stage.repeatable && progress.non_repeatable_may_have_run() {
             return Err(self.call_lost(fault));
         }
         if *fault == Fault::Deadline {
