--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -118,10 +118,10 @@
             Ok(()) = published.changed() => {
                 let latest = Arc::clone(&published.borrow_and_update());
                 // The marks go first: a new leader must not call a marked upstream live.
-                member.fleet.marks(latest.marks.clone());
+                member.fleet.set_marks(latest.marks.clone());
                 member.services.resolve(&latest, &member.settings.site);
                 if let Some(service) = member.services.get(&member.settings.site) {
-                    member.fleet.service(service);
+                    member.fleet.set_service(service);
                 }
             }
         }
--- a/crates/control/src/inbound.rs
+++ b/crates/control/src/inbound.rs
@@ -122,13 +122,13 @@
                     let dropped = self.names.dropped();
                     return log::warn!(vm:% = self.hello.vm, dropped; "a digest was lost");
                 };
-                self.member.fleet.heard(&digest);
+                self.member.fleet.take_digest(&digest);
                 self.member.sessions.digest.take(digest);
             }
             MemberMessage::Shares { term, whole, shares } => {
                 self.member.sessions.shares.take(term, whole, shares);
             }
-            MemberMessage::Load(report) => self.member.fleet.entry_load(report),
+            MemberMessage::Load(report) => self.member.fleet.take_report(report),
             MemberMessage::Usage { vm, report } => self.inlet.usage(vm, report),
         }
     }
@@ -153,7 +153,7 @@
 pub(crate) async fn take_loads(member: Arc<Member>, datagrams: wire::Datagrams) {
     loop {
         match datagrams.recv::<wire::session::LoadReport>().await {
-            Ok((_, report)) if member.core.view().leads() => member.fleet.entry_load(report),
+            Ok((_, report)) if member.core.view().leads() => member.fleet.take_report(report),
             Ok((_, report)) => {
                 let view = member.core.view();
                 if let Some(vm) = view.leader.and_then(|it| view.vm(it)) {
--- a/crates/fleet/examples/polls.rs
+++ b/crates/fleet/examples/polls.rs
@@ -104,7 +104,7 @@
         tokio::select! {
             _ = reports.tick() => {
                 for _ in 0..ENTRIES / BURSTS {
-                    fleet.entry_load(report(sequence, &entries, &names));
+                    fleet.take_report(report(sequence, &entries, &names));
                     sequence += 1;
                 }
             }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -85,24 +85,24 @@
     }
 
     /// Sets a newer version of the service.
-    pub fn service(&self, service: Arc<Service>) {
+    pub fn set_service(&self, service: Arc<Service>) {
         self.inputs.send_modify(|it| it.service = service);
     }
 
     /// Sets all upstreams that operators have marked as leaving.
-    pub fn marks(&self, leaving: BTreeSet<UpstreamName>) {
+    pub fn set_marks(&self, leaving: BTreeSet<UpstreamName>) {
         self.inputs.send_modify(|it| it.marks = Arc::new(leaving));
     }
 
     /// Takes an entry's report of its calls in flight.
-    pub fn entry_load(&self, report: LoadReport) {
+    pub fn take_report(&self, report: LoadReport) {
         // A report for which there is no room is dropped; the entry's next one replaces it.
         let _ = self.messages.try_send(Message::Report(report));
     }
 
     /// Takes a digest of the leader while this member does not lead. If this member leads next, it
     /// inherits which upstreams that leader reported as leaving.
-    pub fn heard(&self, digest: &Digest) {
+    pub fn take_digest(&self, digest: &Digest) {
         let _ = self.messages.try_send(Message::Digest(digest.clone()));
     }
 
--- a/crates/fleet/tests/observations.rs
+++ b/crates/fleet/tests/observations.rs
@@ -46,7 +46,7 @@
 
     two.draining.store(true, Ordering::SeqCst);
     until("two drains", || standing(&fleet, "two") == Some(Leaving)).await;
-    fleet.marks(BTreeSet::from([name("one")]));
+    fleet.set_marks(BTreeSet::from([name("one")]));
     until("one is marked", || standing(&fleet, "one") == Some(Leaving)).await;
     two.draining.store(false, Ordering::SeqCst);
     until("two is back", || standing(&fleet, "two") == Some(Live)).await;
@@ -59,7 +59,7 @@
     let spec = upstream(engine.address, "a", Fencing::Checks);
     fleet.lead(Arc::new(service("v1", &[("one", spec)])));
     for (vm, calls) in [("x", 3), ("y", 4)] {
-        fleet.entry_load(LoadReport {
+        fleet.take_report(LoadReport {
             vm: vm.parse().unwrap(),
             owner: Incarnation(1),
             sequence: 1,
@@ -88,7 +88,7 @@
         report_age: Millis(0),
         standing: Leaving,
     };
-    fleet.heard(&Digest { sequence: 1, loads: vec![load], entries: 1 });
+    fleet.take_digest(&Digest { sequence: 1, loads: vec![load], entries: 1 });
     let spec = upstream(gone, "a", Fencing::Checks);
     fleet.lead(Arc::new(service("v1", &[("one", spec)])));
     let digest = tokio::time::timeout(std::time::Duration::from_secs(60), digests.recv());
