--- a/crates/registry/src/current.rs
+++ b/crates/registry/src/current.rs
@@ -1,36 +1,37 @@
-//! Tells whether a member may hold every plan that was ever acknowledged, by what it knows itself. Pure.
+//! Decides, without I/O, whether a member's plan is the newest acknowledged one, as far as it knows.
 //!
-//! It can't know of what it has not heard of; a quorum confirms it besides, for each entry that connects.
+//! A member may not have heard of the newest commit, so for each entry that connects a quorum confirms
+//! the log index as well.
 
 use types::{LogIndex, Term};
 
-/// What a member knows of its log and its leader.
+/// The state of a member's log and its knowledge of the leader.
 #[derive(Clone, Copy, Debug)]
 pub struct CurrentView {
-    /// The term that it is in.
+    /// The current term.
     pub term: Term,
-    /// Whether it knows who leads in that term.
-    pub led: bool,
-    /// Whether it belongs to the newest membership.
-    pub member: bool,
-    /// The newest entry that it knows to be committed.
+    /// Whether the leader of that term is known.
+    pub has_leader: bool,
+    /// Whether this node belongs to the newest membership.
+    pub is_member: bool,
+    /// The log index up to which the log is known to be committed.
     pub commit: LogIndex,
-    /// The term of that entry, where its log still tells.
+    /// The term of the entry at that index, if the log still holds it.
     pub commit_term: Option<Term>,
-    /// The newest entry that it has applied.
+    /// The log index up to which the log is applied.
     pub applied: LogIndex,
 }
 
 impl CurrentView {
-    /// Whether the plan that was applied last is the newest that was acknowledged, as far as the
-    /// present leader can know.
+    /// Returns whether the applied plan is the newest acknowledged one, as far as the current leader
+    /// can know.
     ///
-    /// What goes wrong without a look at the term: after a loss of all power a leader first tells
-    /// the commit of before, which is behind what was acknowledged last; a member that takes that for
-    /// all vouches for an older plan, and an entry that has just started puts it in force. An entry
-    /// of the present term that is committed has all before it committed.
+    /// The commit index must be of the current term. After all members lose power, a new leader first
+    /// sends a commit index of an earlier term, which may be lower than what was acknowledged last. A
+    /// member that trusted it would report an older plan as current, and an entry that has just started
+    /// would serve it. Once an entry of the current term is committed, so are all log entries before it.
     pub fn is_current(&self) -> bool {
         let settled = self.commit_term == Some(self.term);
-        self.led && self.member && settled && self.applied >= self.commit
+        self.has_leader && self.is_member && settled && self.applied >= self.commit
     }
 }
--- a/crates/registry/src/difference.rs
+++ b/crates/registry/src/difference.rs
@@ -1,7 +1,8 @@
-//! Lists of entries and upstreams, as differences between one number and the next.
+//! Differences between successive lists of entries and of upstreams.
 //!
-//! What goes wrong without them: each entry that comes or goes has the whole list sent to every entry.
-//! When all come back at once that is the cube of their number, at the leader and on the entries' links.
+//! Without them, each entry that connects or disconnects would cause the whole list to be sent to every
+//! entry. When all n entries connect at once, that traffic grows with n³, at the leader and in sum on
+//! the entries' links.
 
 use std::collections::HashSet;
 use std::hash::Hash;
@@ -10,9 +11,9 @@
 
 use crate::message::{EntrySeen, Stamp, Upstream};
 
-/// Something that is listed under a key; lists are ordered by it.
+/// An element of a list that has a key. Lists are ordered by key.
 pub trait Listed: Clone + PartialEq {
-    /// The key, unique within a list.
+    /// The type of the key. Keys are unique within a list.
     type Key: Clone + Eq + Hash + Ord;
 
     /// Returns the key.
@@ -35,36 +36,36 @@
     }
 }
 
-/// What turns the list of one number into that of another.
+/// The difference between two lists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Difference<T, K> {
-    /// The number of the list before.
+    /// The number of the old list.
     pub base: Stamp,
-    /// The number of the list after.
+    /// The number of the new list.
     pub stamp: Stamp,
-    /// The keys of what is gone.
-    pub gone: Vec<K>,
-    /// What came or changed.
-    pub come: Vec<T>,
+    /// The keys of the removed elements.
+    pub removed: Vec<K>,
+    /// The added and changed elements.
+    pub updated: Vec<T>,
 }
 
-/// A list and its number.
+/// A list with its number.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Numbered<T> {
-    /// Its number.
+pub struct NumberedList<T> {
+    /// The number of the list.
     pub stamp: Stamp,
-    /// What is listed, ordered by key.
+    /// The elements, ordered by key.
     pub list: Vec<T>,
 }
 
-impl<T> Default for Numbered<T> {
+impl<T> Default for NumberedList<T> {
     fn default() -> Self {
         Self { stamp: Stamp::default(), list: Vec::new() }
     }
 }
 
-impl<T: Listed> Numbered<T> {
-    /// Puts a list into its order; of several with one key the first stays.
+impl<T: Listed> NumberedList<T> {
+    /// Creates a list, sorted by key; of elements with the same key the first one is kept.
     pub fn new(stamp: Stamp, list: Vec<T>) -> Self {
         let mut list = list;
         list.sort_by_key(T::key);
@@ -72,27 +73,27 @@
         Self { stamp, list }
     }
 
-    /// What turns this list into `next`.
+    /// Returns the difference from this list to `next`.
     pub fn difference(&self, next: &Self) -> Difference<T, T::Key> {
         let kept: HashSet<T::Key> = next.list.iter().map(T::key).collect();
-        let gone = self.list.iter().map(T::key).filter(|it| !kept.contains(it)).collect();
+        let removed = self.list.iter().map(T::key).filter(|it| !kept.contains(it)).collect();
         let known = |it: &&T| {
             let at = self.list.binary_search_by_key(&it.key(), T::key);
             at.is_ok_and(|at| self.list[at] == **it)
         };
-        let come = next.list.iter().filter(|it| !known(it)).cloned().collect();
-        Difference { base: self.stamp, stamp: next.stamp, gone, come }
+        let updated = next.list.iter().filter(|it| !known(it)).cloned().collect();
+        Difference { base: self.stamp, stamp: next.stamp, removed, updated }
     }
 
-    /// Gives the list after a difference; `None` where the difference is to another list.
+    /// Returns this list with a difference applied; `None` if the difference is from another list.
     pub fn apply(&self, difference: Difference<T, T::Key>) -> Option<Self> {
         if difference.base != self.stamp {
             return None;
         }
-        let come = difference.come.iter().map(T::key);
-        let replaced: HashSet<T::Key> = difference.gone.into_iter().chain(come).collect();
+        let updated = difference.updated.iter().map(T::key);
+        let replaced: HashSet<T::Key> = difference.removed.into_iter().chain(updated).collect();
         let kept = self.list.iter().filter(|it| !replaced.contains(&it.key())).cloned();
-        let list = kept.chain(difference.come).collect();
+        let list = kept.chain(difference.updated).collect();
         Some(Self::new(difference.stamp, list))
     }
 }
--- a/crates/registry/src/digest.rs
+++ b/crates/registry/src/digest.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same request.
+//! Identifies requests by a digest of their content.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -7,15 +7,16 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// What a request asks, as a digest: the same for each attempt of it, at any entry.
+/// A digest of a request's content. All attempts of a request have the same one, at any entry.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RequestDigest([u8; 16]);
 
 impl RequestDigest {
-    /// Digests the parts of a request, in order. Their lengths go in, so that no part can take bytes
-    /// of its neighbour; the hash is one in which nobody finds two requests that meet.
+    /// Returns the digest of a request's parts, in order. The length of each part is hashed too, so that
+    /// bytes moved from one part to the next change the digest. The hash is cryptographic, so that
+    /// nobody can construct two requests with the same digest.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hash = Sha256::new();
         for part in parts {
--- a/crates/registry/src/driver.rs
+++ b/crates/registry/src/driver.rs
@@ -1,7 +1,7 @@
-//! The thread that owns the replicated log and the plan; another one writes to the data folder.
+//! Runs the thread that owns the replicated log and the plan; another thread writes to the data folder.
 //!
-//! A slow disk holds up what is to be written, and neither heartbeats nor the confirmation of reads.
-//! The HTTP side runs elsewhere.
+//! A slow disk therefore delays writes, but neither heartbeats nor the confirmation of reads. HTTP
+//! requests are served on other threads.
 
 mod answers;
 mod confirm;
@@ -20,93 +20,94 @@
 use tokio::sync::{oneshot, watch};
 use types::{LogIndex, NodeId, StepResult};
 
-use crate::folder::{Folder, LOG_LIMIT, Opened, decode, encode};
+use crate::folder::{Folder, MAX_LOG_BYTES, Opened, decode, encode};
 use crate::message::PeerMessage;
 use crate::peers::Peers;
-use crate::plan::{Held, Put};
+use crate::plan::{PutPlan, StoredPlan};
 use crate::repair::{address_bytes, address_of};
 
 use self::answers::Reader;
-use self::confirm::Confirms;
+use self::confirm::Confirmations;
 pub(crate) use self::view::View;
 
-/// The log's unit of time.
+/// The time unit of the replicated log.
 const TICK: Duration = Duration::from_millis(50);
 
-/// The shortest election timeout in ticks; the longest is twice this. Far above a usual sync of
-/// 5 ms, and low enough that an operator's order finds a new leader within its 4 s.
+/// The minimum election timeout, in ticks; the maximum is twice this. It is far above a usual disk
+/// sync of 5 ms, and low enough that an operator's order finds a new leader within its 4 s.
 const ELECTION_TICKS: u32 = 14;
 
-/// The shortest first election timeout after a start, in ticks: members that start together need some
-/// 100 ms to reach each other, and the draws must differ by more than a vote takes.
-const FIRST_TICKS: u32 = 5;
+/// The minimum first election timeout after a start, in ticks. Members that start together need some
+/// 100 ms to reach each other, and their random timeouts must differ by more than a vote takes.
+const FIRST_ELECTION_TICKS: u32 = 5;
 
-/// The time between two heartbeats, in ticks.
+/// The heartbeat interval, in ticks.
 const HEARTBEAT_TICKS: u32 = 3;
 
-/// How often the leader looks at the membership, and a node without a leader asks to take part.
+/// The interval at which a leader checks the membership, and a node without a leader asks to join.
 const REPAIR_PERIOD: Duration = Duration::from_millis(150);
 
-/// A write that takes longer is logged.
+/// Writes that take longer are logged.
 const SLOW_WRITE: Duration = Duration::from_millis(300);
 
-/// After how long a leader hands over whose disk lacks what others hold, in ticks.
+/// The time after which a leader whose disk lacks entries that others hold transfers leadership, in
+/// ticks.
 const LAG_TICKS: u32 = 60;
 
-/// After how long a member counts as silent whose disk does not answer, in ticks.
+/// The time after which a member whose disk does not respond counts as unresponsive, in ticks.
 const STALL_TICKS: u32 = 60;
 
-/// How long a handover may take while the heir answers, in ticks.
+/// How long a transfer of leadership may take while its target responds, in ticks.
 const TRANSFER_TICKS: u32 = 40;
 
-/// The pause before a data folder that failed is opened again.
+/// The pause before a data folder is opened again after a failure.
 const REOPEN_PAUSE: Duration = Duration::from_millis(400);
 
-/// The part of a snapshot that one message carries, in bytes.
-const SNAPSHOT_PART: usize = 256 << 10;
+/// The size of the part of a snapshot that one message carries, in bytes.
+const SNAPSHOT_PART_BYTES: usize = 256 << 10;
 
-/// What the driver is asked.
+/// An input of the driver.
 pub(crate) enum Input {
-    /// A message of another member.
+    /// A message from another member, with its address.
     Step(Message, SocketAddr),
-    /// A node asks to take part.
+    /// A node asks to join.
     Join { node: NodeId, address: SocketAddr, relayed: bool },
-    /// An order to hold a plan; answered once it is committed.
-    Put(Put, oneshot::Sender<Answer>),
-    /// A read that must not be older than anything acknowledged before.
+    /// An operator's order to replace the plan; answered once it is committed.
+    Put(PutPlan, oneshot::Sender<Answer>),
+    /// A linearizable read: it returns everything that was acknowledged before.
     Read(oneshot::Sender<Answer>),
-    /// Asks whether the plan that is shown is the newest that was acknowledged; answered once a quorum
-    /// has confirmed so after the question, and the plan is shown.
+    /// Asks whether the plan in the view is the newest acknowledged one; answered once a quorum has
+    /// confirmed a log index after the question, and the plan of that index is in the view.
     ConfirmView(oneshot::Sender<()>),
-    /// Another member asks the same of the leader.
+    /// Another member asks the leader for the confirmed log index.
     Confirm { ticket: u64, from: SocketAddr },
-    /// The leader's answer to this member's question.
+    /// The leader's answer to this member.
     Confirmed { ticket: u64, index: LogIndex },
-    /// Hands leadership over, before the process ends.
+    /// Transfers leadership before the process exits.
     Resign,
-    /// A write to the data folder has ended.
+    /// A write to the data folder completed.
     Written,
 }
 
 /// The driver's answer to an order or a read.
 #[derive(Clone, Debug)]
 pub(crate) enum Answer {
-    /// Committed, or confirmed by a quorum: the plan that is held.
-    Held(Arc<Held>),
+    /// The stored plan: the order is committed, or a quorum confirmed the read.
+    Plan(Arc<StoredPlan>),
     /// This member does not lead; the leader's address, if known.
-    Elsewhere(Option<SocketAddr>),
-    /// Too few voters hold the log for the losses that must be borne.
-    Thin,
+    NotLeader(Option<SocketAddr>),
+    /// The cluster has too few voters to survive the configured number of losses.
+    TooFewVoters,
 }
 
-/// What the driver needs.
+/// The settings of the driver.
 pub(crate) struct DriverConfig {
     pub(crate) data_dir: PathBuf,
     pub(crate) address: SocketAddr,
-    /// Whether this member begins a new cluster in an empty folder.
-    pub(crate) founds: bool,
-    /// How many members may be lost at once.
-    pub(crate) losses: usize,
+    /// Whether this member starts a new cluster if its data folder is empty.
+    pub(crate) bootstraps: bool,
+    /// The number of members that may be lost at once.
+    pub(crate) max_losses: usize,
 }
 
 struct Driver {
@@ -116,24 +117,24 @@
     id: NodeId,
     node: Node,
     journal: Journal,
-    held: Arc<Held>,
+    plan: Arc<StoredPlan>,
     applied: LogIndex,
-    puts: Vec<(Position, oneshot::Sender<Answer>)>,
-    reads: HashMap<u64, Reader>,
-    confirms: Confirms,
-    confirmed: Vec<(u64, LogIndex)>,
+    pending_puts: Vec<(Position, oneshot::Sender<Answer>)>,
+    pending_reads: HashMap<u64, Reader>,
+    confirmations: Confirmations,
+    confirmed_reads: Vec<(u64, LogIndex)>,
     next_read: u64,
     joins: BTreeMap<SocketAddr, (NodeId, Instant)>,
-    heard: HashMap<NodeId, Instant>,
-    /// Where senders of messages are reached.
-    known: HashMap<NodeId, SocketAddr>,
-    led_since: Instant,
-    repaired: Instant,
+    last_heard: HashMap<NodeId, Instant>,
+    /// The addresses of members that sent messages.
+    sender_addresses: HashMap<NodeId, SocketAddr>,
+    leader_seen: Instant,
+    last_repair: Instant,
     resigned: bool,
 }
 
-/// Runs the driver until its inputs end. A data folder that fails is opened again and again:
-/// meanwhile the member takes no part, and others lead.
+/// Runs the driver until its inputs end. After a failure of the data folder it opens the folder again
+/// until that succeeds; meanwhile the member doesn't take part, and others lead.
 pub(crate) fn run(
     config: DriverConfig,
     peers: Arc<Peers>,
@@ -146,10 +147,10 @@
         let opened = Driver::open(config, Arc::clone(&peers), view.clone(), waker.clone());
         let ended = match opened {
             Ok(mut driver) => {
-                let ended = driver.turns(&inputs);
+                let ended = driver.run(&inputs);
                 config = driver.config;
-                // A folder that was opened once is no new cluster's beginning.
-                config.founds = false;
+                // A folder that was opened once belongs to a cluster already.
+                config.bootstraps = false;
                 ended
             }
             Err((given, error)) => {
@@ -158,10 +159,11 @@
             }
         };
         let Err(error) = ended else { return };
-        log::error!(cause:% = error; "the data folder failed; the member steps back");
+        log::error!(cause:% = error;
+            "the data folder failed; the member takes no part until it can be opened again");
         view.send_modify(|it| {
             *it =
-                View { held: Arc::clone(&it.held), members: it.members.clone(), ..View::default() };
+                View { plan: Arc::clone(&it.plan), members: it.members.clone(), ..View::default() };
         });
         std::thread::sleep(REOPEN_PAUSE);
         while let Ok(input) = inputs.try_recv() {
@@ -182,24 +184,24 @@
             Err(error) => return Err((Box::new(config), error)),
         };
         let Opened { mut folder, node: id, fresh, mut restored } = opened;
-        if fresh && config.founds {
+        if fresh && config.bootstraps {
             let voters = BTreeMap::from([(id, address_bytes(config.address))]);
             let membership = Membership { voters, learners: BTreeMap::new() };
-            restored = match folder.found(membership) {
+            restored = match folder.bootstrap(membership) {
                 Ok(restored) => restored,
                 Err(error) => return Err((Box::new(config), error)),
             };
-            log::info!(node:% = id; "began a new cluster");
+            log::info!(node:% = id; "started a new cluster");
         }
-        let held = restored.snapshot.as_ref().map(|it| decode::<Held>(&it.data));
-        let held = match held.transpose() {
-            Ok(held) => Arc::new(held.unwrap_or_default()),
+        let plan = restored.snapshot.as_ref().map(|it| decode::<StoredPlan>(&it.data));
+        let plan = match plan.transpose() {
+            Ok(plan) => Arc::new(plan.unwrap_or_default()),
             Err(error) => return Err((Box::new(config), error)),
         };
         let applied = restored.snapshot.as_ref().map_or(LogIndex(0), |it| it.index);
-        log::info!(node:% = id, fresh, version:% = held.version, applied:% = applied;
+        log::info!(node:% = id, fresh, version:% = plan.version, applied:% = applied;
             "opened the data folder");
-        // A driver with so many inputs looks by itself.
+        // If the queue is full, the driver is awake and checks for completed writes anyway.
         let journal = folder.spawn(move || drop(waker.try_send(Input::Written)));
         let journal = match journal {
             Ok(journal) => journal,
@@ -214,78 +216,78 @@
             id,
             node,
             journal,
-            held,
+            plan,
             applied,
-            puts: Vec::new(),
-            reads: HashMap::new(),
-            confirms: Confirms::new(),
-            confirmed: Vec::new(),
+            pending_puts: Vec::new(),
+            pending_reads: HashMap::new(),
+            confirmations: Confirmations::new(),
+            confirmed_reads: Vec::new(),
             next_read: 0,
             joins: BTreeMap::new(),
-            heard: HashMap::new(),
-            known: HashMap::new(),
-            led_since: now,
-            repaired: now,
+            last_heard: HashMap::new(),
+            sender_addresses: HashMap::new(),
+            leader_seen: now,
+            last_repair: now,
             resigned: false,
         })
     }
 
-    /// Takes turns until the inputs end.
-    fn turns(&mut self, inputs: &Receiver<Input>) -> StepResult<()> {
+    /// Handles inputs and ticks until the inputs end.
+    fn run(&mut self, inputs: &Receiver<Input>) -> StepResult<()> {
         let mut tick = Instant::now() + TICK;
         loop {
             let wait = tick.saturating_duration_since(Instant::now());
             match inputs.recv_timeout(wait) {
-                Ok(input) => self.take(input),
+                Ok(input) => self.handle(input),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
             while let Ok(input) = inputs.try_recv() {
-                self.take(input);
+                self.handle(input);
             }
-            self.take_written()?;
+            self.handle_writes()?;
             let now = Instant::now();
             if now >= tick {
                 self.node.tick();
-                // After a stall one tick counts: heartbeats may wait in the queue.
+                // After a stall only one tick counts: heartbeats may be waiting in the queue.
                 tick = now + TICK;
             }
             self.ask_leader(now);
-            self.work()?;
-            if now.duration_since(self.repaired) >= REPAIR_PERIOD {
-                self.repaired = now;
+            self.process_ready()?;
+            if now.duration_since(self.last_repair) >= REPAIR_PERIOD {
+                self.last_repair = now;
                 self.repair(now);
-                self.work()?;
+                self.process_ready()?;
             }
             self.publish();
-            self.confirms.applied(self.applied);
+            self.confirmations.answer_applied(self.applied);
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         match input {
             Input::Step(message, from) => {
-                self.heard.insert(message.from, Instant::now());
-                self.known.insert(message.from, from);
+                self.last_heard.insert(message.from, Instant::now());
+                self.sender_addresses.insert(message.from, from);
                 self.node.step(message);
             }
-            Input::Join { node, address, relayed } => self.take_join(node, address, relayed),
-            Input::Put(put, reply) => self.take_put(put, reply),
-            Input::Read(reply) => self.take_read(reply),
-            Input::ConfirmView(reply) => self.confirms.add(reply),
+            Input::Join { node, address, relayed } => self.handle_join(node, address, relayed),
+            Input::Put(put, reply) => self.handle_put(put, reply),
+            Input::Read(reply) => self.handle_read(reply),
+            Input::ConfirmView(reply) => self.confirmations.add(reply),
             Input::Confirm { ticket, from } => self.read_for(ticket, from),
-            Input::Confirmed { ticket, index } => self.confirms.answered(ticket, index),
+            Input::Confirmed { ticket, index } => self.confirmations.record_answer(ticket, index),
             Input::Resign => {
                 self.resigned = true;
-                // A node that does not lead has nothing to hand over.
+                // Fails on a node that does not lead: it has no leadership to transfer.
                 let _ = self.node.transfer(None);
             }
             Input::Written => {}
         }
     }
 
-    /// Goes on after writes that have ended: what waited for them may go out.
-    fn take_written(&mut self) -> StepResult<()> {
+    /// Sends the messages that waited for writes that have completed.
+    fn handle_writes(&mut self) -> StepResult<()> {
         while let Some(saved) = self.journal.saved(&mut self.node)? {
             if saved.took > SLOW_WRITE {
                 log::warn!(ms = saved.took.as_millis() as u64; "the disk was slow to sync");
@@ -297,50 +299,50 @@
         Ok(())
     }
 
-    fn take_put(&mut self, put: Put, reply: oneshot::Sender<Answer>) {
+    fn handle_put(&mut self, put: PutPlan, reply: oneshot::Sender<Answer>) {
         if self.node.status().role != Role::Leader {
-            self.answer_elsewhere(reply);
+            self.answer_not_leader(reply);
             return;
         }
-        // What goes wrong: an order that fewer voters hold than may be lost with their disks is
-        // acknowledged and then gone.
-        if self.node.membership().quorum() <= self.config.losses {
-            let _ = reply.send(Answer::Thin);
+        // Otherwise the order could be acknowledged and then lost together with the disks of all
+        // voters that hold it.
+        if self.node.membership().quorum() <= self.config.max_losses {
+            let _ = reply.send(Answer::TooFewVoters);
             return;
         }
-        if put.version <= self.held.version {
-            self.take_read(reply);
+        if put.version <= self.plan.version {
+            self.handle_read(reply);
             return;
         }
         match self.node.propose(encode(&put)) {
-            Ok(position) => self.puts.push((position, reply)),
-            Err(_) => self.answer_elsewhere(reply),
+            Ok(position) => self.pending_puts.push((position, reply)),
+            Err(_) => self.answer_not_leader(reply),
         }
     }
 
-    fn take_read(&mut self, reply: oneshot::Sender<Answer>) {
+    fn handle_read(&mut self, reply: oneshot::Sender<Answer>) {
         self.next_read += 1;
         let id = self.next_read;
         if self.node.read(id).is_err() {
-            self.answer_elsewhere(reply);
+            self.answer_not_leader(reply);
             return;
         }
-        self.reads.insert(id, Reader::Operator(reply));
+        self.pending_reads.insert(id, Reader::Operator(reply));
     }
 
     fn address(&self, id: NodeId) -> Option<SocketAddr> {
         let membership = self.node.membership();
         let bytes = membership.voters.get(&id).or_else(|| membership.learners.get(&id));
-        bytes.and_then(|it| address_of(it)).or_else(|| self.known.get(&id).copied())
+        bytes.and_then(|it| address_of(it)).or_else(|| self.sender_addresses.get(&id).copied())
     }
 
-    /// Orders writes, sends, applies and answers until there is nothing left to do.
-    fn work(&mut self) -> StepResult<()> {
+    /// Starts writes, sends messages, applies committed entries and answers callers until nothing is left.
+    fn process_ready(&mut self) -> StepResult<()> {
         while self.node.has_work() {
             let mut ready = self.node.ready();
             let messages = self.journal.write(&mut ready)?;
             if let Some(snapshot) = &ready.snapshot {
-                self.held = Arc::new(decode(&snapshot.data)?);
+                self.plan = Arc::new(decode(&snapshot.data)?);
                 self.applied = snapshot.index;
             }
             for message in ready.early.into_iter().chain(messages) {
@@ -352,18 +354,18 @@
                 self.apply(entry.payload)?;
                 committed.push(Position { term: entry.term, index: entry.index });
             }
-            // Shown before it is acknowledged: an entry that asked for a plan right after its
-            // acknowledgement was not answered at all, in 4 of 4 runs of 400 plans.
+            // Published before it is acknowledged. In the other order an entry that asks for a plan
+            // right after its acknowledgement gets no answer (in 4 of 4 test runs with 400 plans each).
             if !committed.is_empty() {
                 self.publish();
             }
             for position in committed {
                 self.answer_put(position);
             }
-            self.take_reads(ready.reads, ready.lost_reads);
+            self.handle_reads(ready.reads, ready.lost_reads);
             self.answer_reads();
         }
-        if self.journal.log_size().0 > LOG_LIMIT && !self.journal.compacts() {
+        if self.journal.log_size().0 > MAX_LOG_BYTES && !self.journal.compacts() {
             self.compact()?;
         }
         Ok(())
@@ -379,12 +381,12 @@
         match payload {
             Payload::Empty => {}
             Payload::Command(bytes) => {
-                let put: Put = decode(&bytes)?;
+                let put: PutPlan = decode(&bytes)?;
                 let version = put.version;
-                let mut held = Held::clone(&self.held);
-                if held.apply(put) {
-                    self.held = Arc::new(held);
-                    log::info!(version:% = version, index:% = self.applied; "a plan is held");
+                let mut plan = StoredPlan::clone(&self.plan);
+                if plan.apply(put) {
+                    self.plan = Arc::new(plan);
+                    log::info!(version:% = version, index:% = self.applied; "stored a new plan");
                 }
             }
             Payload::Membership(it) => {
@@ -397,7 +399,7 @@
 
     fn compact(&mut self) -> StepResult<()> {
         let Some(head) = self.node.snapshot_head(self.applied) else { return Ok(()) };
-        let snapshot = Snapshot { data: encode(&*self.held), ..head };
+        let snapshot = Snapshot { data: encode(&*self.plan), ..head };
         self.journal.snapshot(&self.node, snapshot)
     }
 }
@@ -406,14 +408,14 @@
     Config {
         id,
         election_ticks: ELECTION_TICKS,
-        first_ticks: FIRST_TICKS,
+        first_ticks: FIRST_ELECTION_TICKS,
         heartbeat_ticks: HEARTBEAT_TICKS,
         lag_ticks: LAG_TICKS,
         stall_ticks: STALL_TICKS,
         transfer_ticks: TRANSFER_TICKS,
         max_entries: 64,
         max_bytes: 1 << 20,
-        snapshot_part: SNAPSHOT_PART,
+        snapshot_part: SNAPSHOT_PART_BYTES,
         seed: rand::random(),
     }
 }
--- a/crates/registry/src/driver/answers.rs
+++ b/crates/registry/src/driver/answers.rs
@@ -1,4 +1,4 @@
-//! Answers orders and reads, once it is certain what became of them.
+//! Answers operators' orders and reads once their outcome is known.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,68 +9,68 @@
 
 use super::{Answer, Driver};
 
-/// Who asked for a position that a quorum confirms.
+/// Who started a read that a quorum must confirm.
 #[derive(Debug)]
 pub(super) enum Reader {
     /// An operator; answered with the plan.
     Operator(oneshot::Sender<Answer>),
-    /// A member that vouches for its plan, this one included; answered with the position.
+    /// A member, possibly this one, that checks whether its plan is current; answered with the log index.
     Member { ticket: u64, at: SocketAddr },
 }
 
 impl Driver {
-    /// Answers the orders up to a position that is committed: one that another leader's entry
-    /// replaced is answered elsewhere.
+    /// Answers the orders up to a committed position. An order whose entry another leader's entry
+    /// replaced is answered with [`Answer::NotLeader`].
     pub(super) fn answer_put(&mut self, position: Position) {
-        let held = &self.held;
-        self.puts.retain_mut(|(at, reply)| {
+        let plan = &self.plan;
+        self.pending_puts.retain_mut(|(at, reply)| {
             if at.index > position.index {
                 return true;
             }
             let reply = std::mem::replace(reply, oneshot::channel().0);
             let committed = *at == position;
             let answer =
-                if committed { Answer::Held(Arc::clone(held)) } else { Answer::Elsewhere(None) };
-            // The asker may have given up.
+                if committed { Answer::Plan(Arc::clone(plan)) } else { Answer::NotLeader(None) };
+            // The caller may have given up.
             let _ = reply.send(answer);
             false
         });
     }
 
-    /// Takes what became of reads. A member that lost its read asks again.
-    pub(super) fn take_reads(&mut self, confirmed: Vec<(u64, LogIndex)>, lost: Vec<u64>) {
+    /// Handles confirmed and lost reads. A member whose read was lost asks again.
+    pub(super) fn handle_reads(&mut self, confirmed: Vec<(u64, LogIndex)>, lost: Vec<u64>) {
         for (id, index) in confirmed {
-            match self.reads.get(&id) {
-                Some(&Reader::Member { ticket, at }) => self.confirm_to(ticket, at, index),
+            match self.pending_reads.get(&id) {
+                Some(&Reader::Member { ticket, at }) => self.send_confirmation(ticket, at, index),
                 Some(Reader::Operator(_)) => {
-                    self.confirmed.push((id, index));
+                    self.confirmed_reads.push((id, index));
                     continue;
                 }
                 None => {}
             }
-            self.reads.remove(&id);
+            self.pending_reads.remove(&id);
         }
         for id in lost {
-            if let Some(Reader::Operator(reply)) = self.reads.remove(&id) {
-                self.answer_elsewhere(reply);
+            if let Some(Reader::Operator(reply)) = self.pending_reads.remove(&id) {
+                self.answer_not_leader(reply);
             }
         }
     }
 
-    /// Answers the reads whose confirmed position is applied.
+    /// Answers the reads whose confirmed log index is applied.
     pub(super) fn answer_reads(&mut self) {
         let applied = self.applied;
-        for (id, _) in self.confirmed.extract_if(.., |(_, index)| *index <= applied) {
-            if let Some(Reader::Operator(reply)) = self.reads.remove(&id) {
-                let _ = reply.send(Answer::Held(Arc::clone(&self.held)));
+        for (id, _) in self.confirmed_reads.extract_if(.., |(_, index)| *index <= applied) {
+            if let Some(Reader::Operator(reply)) = self.pending_reads.remove(&id) {
+                let _ = reply.send(Answer::Plan(Arc::clone(&self.plan)));
             }
         }
     }
 
-    /// Names the leader, if another one is known.
-    pub(super) fn answer_elsewhere(&self, reply: oneshot::Sender<Answer>) {
+    /// Answers with the leader's address, if another node is known to lead.
+    pub(super) fn answer_not_leader(&self, reply: oneshot::Sender<Answer>) {
         let leader = self.node.status().leader.filter(|it| *it != self.id);
-        // The asker may have given up.
-        let _ = reply.send(Answer::Elsewhere(leader.and_then(|it| self.address(it))));
+        // The caller may have given up.
+        let _ = reply.send(Answer::NotLeader(leader.and_then(|it| self.address(it))));
     }
 }
--- a/crates/registry/src/driver/confirm/tests.rs
+++ b/crates/registry/src/driver/confirm/tests.rs
@@ -1,23 +1,23 @@
-//! Which question to the leader answers which connection, and when.
+//! Which answer of the leader confirms which connections, and when questions are resent.
 
 use super::*;
 
-/// One thing that happens, and the connections (0, 1, …) that are answered by it.
+/// An event, and the connections (0, 1, …) that are answered by it.
 struct Step {
     event: Event,
     answered: &'static [usize],
 }
 
 enum Event {
-    /// A connection waits.
+    /// A connection starts to wait.
     Add,
-    /// So many ms pass, and a question is sent or not.
+    /// This many ms pass, after which a question is sent or not.
     Due { ms: u64, sends: bool },
-    /// Another node leads.
+    /// Another node is elected as leader.
     Elected,
-    /// The leader answers the question sent this many questions ago, 0 being the latest.
+    /// The leader answers the question that was sent this many questions ago; 0 is the latest.
     Answer { back: u64, index: u64 },
-    /// The log is applied so far.
+    /// The log is applied up to this index.
     Applied(u64),
 }
 
@@ -34,7 +34,7 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "answered once the position is applied",
+        name: "answered once the log index is applied",
         steps: &[
             step(Add, &[]),
             step(Due { ms: 0, sends: true }, &[]),
@@ -45,7 +45,7 @@
         ],
     },
     Case {
-        name: "one that comes after the question waits for the next",
+        name: "a connection that comes after the question waits for the next one",
         steps: &[
             step(Add, &[]),
             step(Due { ms: 0, sends: true }, &[]),
@@ -59,7 +59,7 @@
         ],
     },
     Case {
-        name: "a lost question is sent again, and a late answer to it counts",
+        name: "a lost question is resent, and a late answer to it counts",
         steps: &[
             step(Add, &[]),
             step(Due { ms: 0, sends: true }, &[]),
@@ -71,7 +71,7 @@
         ],
     },
     Case {
-        name: "an answer to a question before counts for nobody",
+        name: "an answer to an earlier question confirms nothing",
         steps: &[
             step(Add, &[]),
             step(Due { ms: 0, sends: true }, &[]),
@@ -84,7 +84,7 @@
         ],
     },
     Case {
-        name: "a leader that never answers is asked less and less, another at once",
+        name: "a silent leader is asked with growing pauses, a new leader at once",
         steps: &[
             step(Add, &[]),
             step(Due { ms: 0, sends: true }, &[]),
@@ -104,13 +104,13 @@
             step(Applied(3), &[0]),
         ],
     },
-    Case { name: "nobody waits", steps: &[step(Due { ms: 500, sends: false }, &[])] },
+    Case { name: "no connection waits", steps: &[step(Due { ms: 500, sends: false }, &[])] },
 ];
 
 #[test]
 fn a_connection_is_answered_only_by_a_question_that_came_after_it() {
     for case in CASES {
-        let mut confirms = Confirms::new();
+        let mut confirmations = Confirmations::new();
         let mut now = Instant::now();
         let mut leader = (NodeId(1), Term(1));
         let mut waiting = Vec::new();
@@ -119,25 +119,26 @@
             match *event {
                 Add => {
                     let (reply, confirmed) = oneshot::channel();
-                    confirms.add(reply);
+                    confirmations.add(reply);
                     waiting.push(confirmed);
                 }
                 Due { ms, sends } => {
                     now += Duration::from_millis(ms);
-                    assert_eq!(confirms.due(now, leader).is_some(), sends, "{name}");
+                    assert_eq!(confirmations.next_question(now, leader).is_some(), sends, "{name}");
                 }
                 Elected => leader.1 = Term(leader.1.0 + 1),
                 Answer { back, index } => {
-                    confirms.answered(confirms.ticket.wrapping_sub(back), LogIndex(index));
+                    confirmations
+                        .record_answer(confirmations.ticket.wrapping_sub(back), LogIndex(index));
                 }
-                Applied(index) => confirms.applied(LogIndex(index)),
+                Applied(index) => confirmations.answer_applied(LogIndex(index)),
             }
-            let came: Vec<usize> = waiting
+            let done: Vec<usize> = waiting
                 .iter_mut()
                 .enumerate()
-                .filter_map(|(place, it)| it.try_recv().is_ok().then_some(place))
+                .filter_map(|(index, it)| it.try_recv().is_ok().then_some(index))
                 .collect();
-            assert_eq!(came, *answered, "{name}");
+            assert_eq!(done, *answered, "{name}");
         }
     }
 }
--- a/crates/registry/src/driver/membership.rs
+++ b/crates/registry/src/driver/membership.rs
@@ -1,4 +1,4 @@
-//! Who takes part: mends the membership as leader, asks to take part otherwise.
+//! Repairs the membership on the leader, and asks to join on other nodes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,15 +11,15 @@
 use crate::message::PeerMessage;
 use crate::repair::{PeerView, RepairView, address_of, next_membership};
 
-/// For how long a request to take part counts.
-const JOIN_FRESH: Duration = Duration::from_millis(1_200);
+/// How long a request to join is valid.
+const JOIN_VALIDITY: Duration = Duration::from_millis(1_200);
 
-/// For how long a node may be without a leader before it asks to take part: another leader may
-/// have removed it.
-const LEADERLESS: Duration = Duration::from_millis(1_500);
+/// How long a voter may be without a leader before it asks to join: a leader may have removed it
+/// from the membership.
+const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Driver {
-    pub(super) fn take_join(&mut self, node: NodeId, address: SocketAddr, relayed: bool) {
+    pub(super) fn handle_join(&mut self, node: NodeId, address: SocketAddr, relayed: bool) {
         let status = self.node.status();
         if status.role == Role::Leader {
             self.joins.insert(address, (node, Instant::now()));
@@ -31,22 +31,23 @@
         }
     }
 
-    /// Mends the membership as leader; asks to take part where no leader is heard.
+    /// As leader, changes the membership where needed; otherwise asks to join if this node is no voter or
+    /// hears no leader.
     pub(super) fn repair(&mut self, now: Instant) {
         let status = self.node.status();
-        self.joins.retain(|_, (_, at)| now.duration_since(*at) < JOIN_FRESH);
+        self.joins.retain(|_, (_, at)| now.duration_since(*at) < JOIN_VALIDITY);
         if status.role != Role::Leader {
             if status.leader.is_some() && self.node.membership().is_voter(self.id) {
-                self.led_since = now;
+                self.leader_seen = now;
             }
-            let leaderless = now.duration_since(self.led_since) >= LEADERLESS;
+            let leaderless = now.duration_since(self.leader_seen) >= LEADERLESS_TIMEOUT;
             if leaderless || !self.node.membership().is_voter(self.id) {
                 self.ask_to_join();
             }
             return;
         }
-        self.led_since = now;
-        let silent = |id: &NodeId| match self.heard.get(id) {
+        self.leader_seen = now;
+        let silent = |id: &NodeId| match self.last_heard.get(id) {
             Some(at) => now.duration_since(*at),
             None => Duration::ZERO,
         };
@@ -61,18 +62,19 @@
             membership: self.node.membership(),
             peers: &peers,
             joins: &joins,
-            voters: 2 * self.config.losses + 1,
+            target_voters: 2 * self.config.max_losses + 1,
         });
-        // A peer that was never heard counts from the moment this node leads.
+        // The silence of a peer that was never heard is counted from the first repair as leader.
         for id in status.peers.keys() {
-            self.heard.entry(*id).or_insert(now);
+            self.last_heard.entry(*id).or_insert(now);
         }
         let Some(next) = next else { return };
         let (voters, learners) = (next.voters.len(), next.learners.len());
         match self.node.change(next) {
             Ok(position) => log::info!(voters, learners, index:% = position.index;
                 "proposed a change of the membership"),
-            Err(error) => log::debug!(cause:% = error; "the membership can't change yet"),
+            Err(error) => log::debug!(cause:% = error;
+                "the membership can't be changed yet; the next check tries again"),
         }
     }
 
--- a/crates/registry/src/driver/view.rs
+++ b/crates/registry/src/driver/view.rs
@@ -1,4 +1,4 @@
-//! What a member shows of itself to its other parts.
+//! The view of the driver's state that the other parts of a member read.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,20 +7,20 @@
 
 use super::Driver;
 use crate::current::CurrentView;
-use crate::plan::Held;
+use crate::plan::StoredPlan;
 use crate::repair::address_of;
 
-/// What the rest of the member sees.
+/// The driver's state, as the rest of the member reads it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct View {
     pub(crate) term: u64,
     pub(crate) role: Role,
     pub(crate) settled: bool,
     pub(crate) leader: Option<SocketAddr>,
-    /// Whether the held plan is the newest acknowledged one, as far as this member knows; see
+    /// Whether the stored plan is the newest acknowledged one, as far as this member knows; see
     /// [`CurrentView`].
     pub(crate) current: bool,
-    pub(crate) held: Arc<Held>,
+    pub(crate) plan: Arc<StoredPlan>,
     pub(crate) members: Vec<SocketAddr>,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Driver {
-    /// Shows what has changed.
+    /// Publishes the view if it changed.
     pub(super) fn publish(&mut self) {
         let status = self.node.status();
         let leader = status.leader.filter(|_| !self.resigned);
@@ -40,8 +40,8 @@
         let settled = status.settled && !status.transferring;
         let current = CurrentView {
             term: status.term,
-            led: leader.is_some(),
-            member: self.node.membership().contains(self.id),
+            has_leader: leader.is_some(),
+            is_member: self.node.membership().contains(self.id),
             commit: status.commit,
             commit_term: self.node.term_at(status.commit),
             applied: self.applied,
@@ -56,7 +56,7 @@
                 && view.settled == settled
                 && view.leader == leader
                 && view.current == current
-                && view.held.version == self.held.version
+                && view.plan.version == self.plan.version
                 && view.members == members;
             if same {
                 return false;
@@ -70,7 +70,7 @@
                 settled,
                 leader,
                 current,
-                held: Arc::clone(&self.held),
+                plan: Arc::clone(&self.plan),
                 members,
             };
             true
--- a/crates/registry/src/folder.rs
+++ b/crates/registry/src/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder of a member, in the terms of the replicated log.
+//! Opens a member's data folder, which holds its node id and its part of the replicated log.
 
 use std::path::Path;
 
@@ -8,21 +8,21 @@
 use serde::de::DeserializeOwned;
 use types::{LogIndex, NodeId, StepError, StepResult, Term};
 
-use crate::plan::Held;
+use crate::plan::StoredPlan;
 
-/// The size of the log at which a snapshot replaces it, in bytes: a few dozen large plans, so that
-/// the memory of a member stays small.
-pub(crate) const LOG_LIMIT: u64 = 2 << 20;
+/// The size of the log at which a snapshot replaces it, in bytes. It holds a few dozen large plans,
+/// which keeps the memory of a member small.
+pub(crate) const MAX_LOG_BYTES: u64 = 2 << 20;
 
-/// The index of the snapshot with which a cluster begins.
-const FIRST: LogIndex = LogIndex(1);
+/// The log index of the first snapshot of a new cluster.
+const FIRST_INDEX: LogIndex = LogIndex(1);
 
 /// An open data folder.
 pub(crate) struct Folder {
     store: Store,
 }
 
-/// What an opened folder held.
+/// The contents of a data folder.
 pub(crate) struct Opened {
     pub(crate) folder: Folder,
     pub(crate) node: NodeId,
@@ -32,7 +32,7 @@
 }
 
 impl Folder {
-    /// Opens the folder; an empty one gets an id of its own.
+    /// Opens the folder; an empty one gets a new random node id.
     pub(crate) fn open(path: &Path) -> StepResult<Opened> {
         let fault = |e| StepError::new("open data folder", e).at(path.display());
         let (mut store, recovered) = Store::open(path).map_err(fault)?;
@@ -48,16 +48,16 @@
         Ok(Opened { folder: Folder { store }, node, fresh, restored })
     }
 
-    /// Writes the beginning of a new cluster with `membership`.
-    pub(crate) fn found(&mut self, membership: Membership) -> StepResult<Restored> {
-        let data = encode(&Held::default());
-        let snapshot = Snapshot { index: FIRST, term: Term(1), membership, data };
+    /// Writes the first snapshot of a new cluster with `membership`.
+    pub(crate) fn bootstrap(&mut self, membership: Membership) -> StepResult<Restored> {
+        let data = encode(&StoredPlan::default());
+        let snapshot = Snapshot { index: FIRST_INDEX, term: Term(1), membership, data };
         let installed = self.store.install(snapshot.index, &replica::encode(&snapshot)?);
         installed.map_err(|e| StepError::new("install snapshot", e))?;
         Ok(Restored { snapshot: Some(snapshot), ..Restored::default() })
     }
 
-    /// Begins to write beside all else; `wake` is called on another thread after each write.
+    /// Starts the thread that writes; it calls `wake` after each write.
     pub(crate) fn spawn(self, wake: impl Fn() + Send + 'static) -> StepResult<Journal> {
         Journal::spawn(self.store, wake)
     }
@@ -65,7 +65,7 @@
 
 /// Encodes a value of this crate's own types.
 pub(crate) fn encode<T: serde::Serialize>(value: &T) -> Vec<u8> {
-    // Writing plain types to a vector cannot fail.
+    // Serializing these types to a vector cannot fail.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -1,7 +1,7 @@
-//! An entry's side: follows every member it can reach.
+//! The entry's side of the registry: receives updates from every reachable member.
 //!
-//! All members are followed at once, so that one that is cut off, frozen or stalled holds nothing
-//! up; a plan travels once, from one member at a time, in parts.
+//! An entry is connected to all members at the same time, so that one that is partitioned, frozen or
+//! stalled delays nothing. A plan is transferred once, from one member at a time, in parts.
 
 mod link;
 mod state;
@@ -17,54 +17,54 @@
 use types::{Version, VmName};
 use wire::{Hello, Kind, Secret};
 
-use self::state::Loop;
+use self::state::State;
 use crate::fetch::Fetch;
 use crate::message::{EntrySeen, LoadReport, Relay, Stamp, Upstream, UpstreamList};
-use crate::quarantine::{Evidence, Known, Recent};
+use crate::quarantine::{Evidence, EvidenceBuffer, Known};
 
-/// How often waiting plans and missing members are looked at.
-const PERIOD: Duration = Duration::from_millis(100);
+/// The interval at which missing members are connected to and unsent evidence is sent.
+const TICK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Evidence that waits for the loop.
-const EVIDENCE: usize = 256;
+/// The maximum number of queued observations.
+const MAX_QUEUED_EVIDENCE: usize = 256;
 
-/// Who the entry is.
+/// The settings of a follower.
 #[derive(Clone, Debug)]
 pub struct FollowerConfig {
-    /// What it tells members.
+    /// How the entry describes itself to members.
     pub entry: EntrySeen,
-    /// Its VM.
+    /// The VM of the entry.
     pub vm: VmName,
-    /// Where members were, when the settings were written.
+    /// The addresses of members at the time when the settings were written.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// What an entry was told.
+/// The data that an entry received from the registry.
 #[derive(Clone, Debug, Default)]
 pub struct News {
-    /// The newest plan, once a quorum confirmed that none was newer when the entry had started.
+    /// The newest plan. Set once a quorum has confirmed that no plan was newer when the entry started.
     pub plan: Option<(Version, Arc<Vec<u8>>)>,
     /// The newest list of upstreams.
     pub upstreams: Arc<Vec<Upstream>>,
-    /// Its number.
+    /// The number of the list of upstreams.
     pub listed: Stamp,
-    /// The entries that are there.
+    /// The connected entries.
     pub entries: Arc<Vec<EntrySeen>>,
-    /// Its number.
+    /// The number of the list of entries.
     pub seated: Stamp,
-    /// How many members are connected.
+    /// The number of connected members.
     pub members: usize,
 }
 
 impl News {
-    /// What an entry that is not in touch should know of these.
+    /// Returns the lists to forward to an entry that has no connection to the registry.
     pub fn relay(&self) -> Relay {
         let upstreams = UpstreamList { stamp: self.listed, upstreams: self.upstreams.to_vec() };
         Relay { seated: self.seated, entries: self.entries.to_vec(), upstreams }
     }
 }
 
-/// A running follower.
+/// A running task that receives updates from the registry.
 pub struct Follower {
     news: watch::Receiver<News>,
     seeds: Arc<Mutex<Vec<SocketAddr>>>,
@@ -78,52 +78,53 @@
 }
 
 impl Follower {
-    /// Starts to follow.
+    /// Starts the task.
     pub fn spawn(config: FollowerConfig, secret: Secret) -> Self {
         let (sender, news) = watch::channel(News::default());
         let seeds = Arc::new(Mutex::new(config.seeds.clone()));
-        let (leaving, left) = watch::channel(false);
+        let (leaving, leave_requested) = watch::channel(false);
         let (loads, digest) = watch::channel(Arc::default());
         let (reports, reported) = mpsc::channel(2);
         let (relays, relayed) = mpsc::channel(2);
         let (known, quarantine) = watch::channel(Arc::default());
-        let (evidence, collected) = mpsc::channel(EVIDENCE);
-        let channels = Channels { news: sender, loads, known, left, reported, relayed, collected };
+        let (evidence, collected) = mpsc::channel(MAX_QUEUED_EVIDENCE);
+        let channels =
+            Channels { news: sender, loads, known, leave_requested, reported, relayed, collected };
         let task = tokio::spawn(run(config, secret, channels, Arc::clone(&seeds)));
         Self { news, seeds, leaving, digest, reports, relays, quarantine, evidence, _task: task }
     }
 
-    /// Returns where the news are seen.
+    /// Returns the receiver of the registry's data.
     pub fn news(&self) -> watch::Receiver<News> {
         self.news.clone()
     }
 
-    /// Returns where the loads of all entries together are seen.
+    /// Returns the receiver of the sum of all entries' loads.
     pub fn digest(&self) -> watch::Receiver<Arc<LoadReport>> {
         self.digest.clone()
     }
 
-    /// Returns where this entry's loads are reported.
+    /// Returns the sender for reports of this entry's loads.
     pub fn reports(&self) -> mpsc::Sender<LoadReport> {
         self.reports.clone()
     }
 
-    /// Returns where news that other entries pass on are taken.
+    /// Returns the sender for lists that other entries forward.
     pub fn relays(&self) -> mpsc::Sender<Relay> {
         self.relays.clone()
     }
 
-    /// Returns where the requests that are not sent are seen.
+    /// Returns the receiver of the view of held requests.
     pub fn quarantine(&self) -> watch::Receiver<Arc<Known>> {
         self.quarantine.clone()
     }
 
-    /// Returns where evidence of requests under which upstreams end is taken.
+    /// Returns the sender for evidence of requests that may terminate upstreams.
     pub fn evidence(&self) -> mpsc::Sender<Evidence> {
         self.evidence.clone()
     }
 
-    /// Has other entries told that this one ends.
+    /// Tells the members that this entry is shutting down.
     pub fn leave(&self) {
         self.leaving.send_replace(true);
     }
@@ -134,12 +135,12 @@
     }
 }
 
-/// The loop's ends of the follower's channels.
+/// The channel ends that the loop owns.
 struct Channels {
     news: watch::Sender<News>,
     loads: watch::Sender<Arc<LoadReport>>,
     known: watch::Sender<Arc<Known>>,
-    left: watch::Receiver<bool>,
+    leave_requested: watch::Receiver<bool>,
     reported: mpsc::Receiver<LoadReport>,
     relayed: mpsc::Receiver<Relay>,
     collected: mpsc::Receiver<Evidence>,
@@ -151,12 +152,19 @@
     channels: Channels,
     seeds: Arc<Mutex<Vec<SocketAddr>>>,
 ) {
-    let Channels { news, loads, known, mut left, mut reported, mut relayed, mut collected } =
-        channels;
+    let Channels {
+        news,
+        loads,
+        known,
+        mut leave_requested,
+        mut reported,
+        mut relayed,
+        mut collected,
+    } = channels;
     let (events, mut incoming) = mpsc::channel(256);
     let me = Hello { kind: Kind::Entry, vm: config.vm.clone(), node: rand::random() };
     let fetch = Fetch::new(me.node as usize);
-    let mut state = Loop {
+    let mut state = State {
         config,
         secret,
         me,
@@ -167,28 +175,28 @@
         seeds,
         links: HashMap::new(),
         members: Vec::new(),
-        held: HashMap::new(),
-        confirmed: None,
-        text: None,
+        plan_versions: HashMap::new(),
+        min_version: None,
+        plan: None,
         fetch,
         leader: None,
-        recent: Recent::default(),
-        lists: HashMap::new(),
+        evidence: EvidenceBuffer::default(),
+        member_lists: HashMap::new(),
     };
-    let mut ticks = interval(PERIOD);
+    let mut ticks = interval(TICK_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = ticks.tick() => {
-                state.dial();
-                state.tell_untold();
+                state.connect_missing();
+                state.send_unsent();
             }
-            Some(event) = incoming.recv() => state.take(event),
-            Ok(()) = left.changed() => state.leave(),
-            Some(report) = reported.recv() => state.report(report),
+            Some(event) = incoming.recv() => state.handle(event),
+            Ok(()) = leave_requested.changed() => state.leave(),
+            Some(report) = reported.recv() => state.send_loads(report),
             Some(relay) = relayed.recv() => state.take_relay(relay),
-            Some(evidence) = collected.recv() => state.tell_evidence(evidence),
+            Some(evidence) = collected.recv() => state.report_evidence(evidence),
         }
-        state.fetch();
+        state.request_part();
     }
 }
--- a/crates/registry/src/follow/link.rs
+++ b/crates/registry/src/follow/link.rs
@@ -1,4 +1,4 @@
-//! A connection of an entry to one member.
+//! An entry's connection to one member.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 
 use crate::message::{EntrySeen, ToEntry, ToMember};
 
-/// The pause before a member that can't be reached is dialled again.
-const REDIAL: Duration = Duration::from_millis(100);
+/// The pause before a new attempt to connect to an unreachable member.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long a dial may take: many times the way between regions. A lost first packet is sent again
-/// only after a second, and one to a host that is off is never answered, so another dial is sooner:
-/// after a loss of all power entries must find members before their callers give up.
-const DIAL_TIMEOUT: Duration = Duration::from_millis(250);
+/// The timeout of an attempt to connect: many times the latency between regions. TCP resends a lost
+/// first packet only after a second, and a host that is off never answers, so a new attempt is faster.
+/// After all machines lost power, entries must reach members before their callers give up.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What the connections tell the loop.
+/// An event of a connection.
 pub(super) enum Event {
     Connected(SocketAddr, Sender<ToMember>),
     Lost(SocketAddr),
     Message(SocketAddr, ToEntry),
 }
 
-/// Keeps one connection to one member; ends with it.
+/// Connects to one member and forwards its messages until the connection ends.
 pub(super) async fn link(
     address: SocketAddr,
     secret: Secret,
@@ -32,11 +32,12 @@
     entry: EntrySeen,
     events: mpsc::Sender<Event>,
 ) {
-    let dialled = timeout(DIAL_TIMEOUT, wire::connect(address, &secret, me, Kind::Member)).await;
-    if let Ok(Ok(connection)) = dialled {
+    let connecting =
+        timeout(CONNECT_TIMEOUT, wire::connect(address, &secret, me, Kind::Member)).await;
+    if let Ok(Ok(connection)) = connecting {
         let (sender, mut receiver) = connection.split::<ToMember, ToEntry>();
-        let greeted = sender.send(&ToMember::Hello(entry)).await.is_ok();
-        if greeted && events.send(Event::Connected(address, sender)).await.is_ok() {
+        let hello_sent = sender.send(&ToMember::Hello(entry)).await.is_ok();
+        if hello_sent && events.send(Event::Connected(address, sender)).await.is_ok() {
             while let Ok(Some(message)) = receiver.recv().await {
                 if events.send(Event::Message(address, message)).await.is_err() {
                     return;
@@ -44,8 +45,8 @@
             }
         }
     } else {
-        sleep(REDIAL).await;
+        sleep(RECONNECT_PAUSE).await;
     }
-    // The loop ends only with the process.
+    // Fails only when the process exits: the loop runs until then.
     let _ = events.send(Event::Lost(address)).await;
 }
--- a/crates/registry/src/follow/state.rs
+++ b/crates/registry/src/follow/state.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the members and of what they tell, and what it does with it.
+//! The state of an entry's connections to members, and the handling of their messages.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,19 +11,20 @@
 
 use super::link::{Event, link};
 use super::{FollowerConfig, News};
-use crate::difference::Numbered;
+use crate::difference::NumberedList;
 use crate::fetch::Fetch;
 use crate::message::{
-    EntrySeen, LoadReport, QUARANTINE, Relay, Stamp, ToEntry, ToMember, Upstream, UpstreamList,
+    EntrySeen, LoadReport, QUARANTINE_LEVEL, Relay, Stamp, ToEntry, ToMember, Upstream,
+    UpstreamList,
 };
-use crate::parcel::Part;
-use crate::quarantine::{Evidence, Known, QuarantineList, Recent};
+use crate::package::Part;
+use crate::quarantine::{Evidence, EvidenceBuffer, Known, QuarantineList};
 
-/// The most members that are followed at once.
-const MEMBERS: usize = 7;
+/// The maximum number of members that are connected to at once.
+const MAX_MEMBERS: usize = 7;
 
-/// The state of the loop that follows the members.
-pub(super) struct Loop {
+/// The state of the loop that receives updates from the members.
+pub(super) struct State {
     pub(super) config: FollowerConfig,
     pub(super) secret: Secret,
     pub(super) me: Hello,
@@ -34,35 +35,35 @@
     pub(super) seeds: Arc<Mutex<Vec<SocketAddr>>>,
     pub(super) links: HashMap<SocketAddr, Option<Sender<ToMember>>>,
     pub(super) members: Vec<SocketAddr>,
-    /// The version each member holds.
-    pub(super) held: HashMap<SocketAddr, Version>,
-    /// The version of a plan that was the newest acknowledged one after this entry had started, as a
-    /// quorum confirmed.
-    pub(super) confirmed: Option<Version>,
-    pub(super) text: Option<(Version, Arc<Vec<u8>>)>,
+    /// The version of the plan that each member holds.
+    pub(super) plan_versions: HashMap<SocketAddr, Version>,
+    /// The lowest version that may be put in force: the newest acknowledged one, as a quorum confirmed
+    /// it after this entry had started.
+    pub(super) min_version: Option<Version>,
+    pub(super) plan: Option<(Version, Arc<Vec<u8>>)>,
     pub(super) fetch: Fetch,
-    /// The member that sent the newest list: the leader.
+    /// The leader: the member that sent the newest list of upstreams.
     pub(super) leader: Option<SocketAddr>,
-    /// Evidence that the next leader is told.
-    pub(super) recent: Recent,
-    /// The lists as each member told them last; its next difference is to these.
-    pub(super) lists: HashMap<SocketAddr, Lists>,
+    /// Recent evidence, for the next leader.
+    pub(super) evidence: EvidenceBuffer,
+    /// The last lists that each member sent; its next differences are from these.
+    pub(super) member_lists: HashMap<SocketAddr, MemberLists>,
 }
 
-/// What one member told.
+/// The last lists that a member sent.
 #[derive(Default)]
-pub(super) struct Lists {
-    entries: Numbered<EntrySeen>,
-    upstreams: Numbered<Upstream>,
+pub(super) struct MemberLists {
+    entries: NumberedList<EntrySeen>,
+    upstreams: NumberedList<Upstream>,
 }
 
-impl Loop {
-    /// Opens a task for every member that has none.
-    pub(super) fn dial(&mut self) {
+impl State {
+    /// Starts a connection to every known member that has none.
+    pub(super) fn connect_missing(&mut self) {
         let seeds = self.seeds.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let wanted = self.members.iter().chain(&seeds).copied();
         for address in wanted.collect::<Vec<_>>() {
-            if self.links.len() >= MEMBERS {
+            if self.links.len() >= MAX_MEMBERS {
                 return;
             }
             if self.links.contains_key(&address) {
@@ -75,185 +76,189 @@
         }
     }
 
-    pub(super) fn take(&mut self, event: Event) {
+    pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::Connected(address, sender) => {
                 log::info!(peer:% = address; "connected to a member");
                 self.links.insert(address, Some(sender));
-                self.count();
+                self.update_count();
             }
             Event::Lost(address) => {
                 if self.links.remove(&address).flatten().is_some() {
-                    log::warn!(peer:% = address; "lost a member");
+                    log::warn!(peer:% = address; "lost the connection to a member");
                 }
-                self.held.remove(&address);
-                self.lists.remove(&address);
-                self.fetch.lost(address);
-                self.count();
+                self.plan_versions.remove(&address);
+                self.member_lists.remove(&address);
+                self.fetch.connection_lost(address);
+                self.update_count();
             }
-            Event::Message(address, message) => self.take_message(address, message),
+            Event::Message(address, message) => self.handle_message(address, message),
         }
     }
 
-    /// Tells the leader what this entry has under way.
-    pub(super) fn report(&self, report: LoadReport) {
+    /// Sends the leader this entry's loads.
+    pub(super) fn send_loads(&self, report: LoadReport) {
         let sender = self.leader.and_then(|it| self.links.get(&it)).and_then(Option::as_ref);
         if let Some(sender) = sender {
-            // The next report makes up for one that is lost.
+            // A lost report is made up for by the next one.
             let _ = sender.try_send(&ToMember::Loads(report));
         }
     }
 
-    /// Tells the leader of requests under which upstreams end, and keeps it for a leader to come.
-    pub(super) fn tell_evidence(&mut self, evidence: Evidence) {
-        let told = self.send_evidence(evidence.clone());
-        self.recent.add(evidence, told, Instant::now());
+    /// Sends evidence to the leader, and keeps it for the next leader.
+    pub(super) fn report_evidence(&mut self, evidence: Evidence) {
+        let sent = self.send_evidence(evidence.clone());
+        self.evidence.add(evidence, sent, Instant::now());
     }
 
-    /// Tells the leader what could not be told before.
-    pub(super) fn tell_untold(&mut self) {
-        if self.counting_leader().is_none() {
+    /// Sends the leader the evidence that could not be sent before.
+    pub(super) fn send_unsent(&mut self) {
+        if self.quarantine_leader().is_none() {
             return;
         }
-        for evidence in self.recent.untold(Instant::now()) {
+        for evidence in self.evidence.unsent(Instant::now()) {
             self.send_evidence(evidence);
         }
     }
 
-    /// The leader's connection; one of the release before counts nothing.
-    fn counting_leader(&self) -> Option<&Sender<ToMember>> {
+    /// Returns the connection to the leader if its release supports the quarantine.
+    fn quarantine_leader(&self) -> Option<&Sender<ToMember>> {
         let sender = self.leader.and_then(|it| self.links.get(&it)).and_then(Option::as_ref);
-        sender.filter(|it| it.level() >= QUARANTINE)
+        sender.filter(|it| it.level() >= QUARANTINE_LEVEL)
     }
 
-    /// Returns whether the leader's connection took it.
+    /// Sends evidence to the leader; returns whether it could be queued.
     fn send_evidence(&self, evidence: Evidence) -> bool {
-        let Some(sender) = self.counting_leader() else {
-            log::info!(evidence:? = evidence; "no leader to tell of a request; the next one is");
+        let Some(sender) = self.quarantine_leader() else {
+            log::info!(evidence:? = evidence;
+                "no leader to send evidence to; it is kept for the next one");
             return false;
         };
         let sent = sender.try_send(&ToMember::Evidence(evidence.at_level(sender.level())));
         if let Err(error) = &sent {
-            log::warn!(cause:% = error; "the leader can't be told of a request");
+            log::warn!(cause:% = error; "evidence can't be sent to the leader; it is kept");
         }
         sent.is_ok()
     }
 
-    fn take_quarantine(&self, from: SocketAddr, list: &QuarantineList) {
+    fn handle_quarantine(&self, from: SocketAddr, list: &QuarantineList) {
         let mut known = Known::clone(&self.known.borrow());
-        if !known.take(list, Instant::now()) {
+        if !known.update(list, Instant::now()) {
             return;
         }
         log::info!(peer:% = from, number:% = list.stamp, held = list.held.len(),
-            watched = list.watched.len(); "the requests that are not sent changed");
+            watched = list.watched.len(); "the list of held requests changed");
         self.known.send_replace(Arc::new(known));
     }
 
-    /// Tells every member that this entry ends.
+    /// Tells every member that this entry is shutting down.
     pub(super) fn leave(&self) {
         for sender in self.links.values().flatten() {
-            // A member that can't be told sees the connection end.
+            // A member that this doesn't reach detects the end of the connection.
             let _ = sender.try_send(&ToMember::Leave);
         }
     }
 
-    fn count(&self) {
+    fn update_count(&self) {
         let members = self.links.values().flatten().count();
         self.news.send_modify(|it| it.members = members);
     }
 
-    fn take_message(&mut self, from: SocketAddr, message: ToEntry) {
+    fn handle_message(&mut self, from: SocketAddr, message: ToEntry) {
         match message {
-            ToEntry::Held { version, current } => {
-                self.held.insert(from, version);
-                if current && self.confirmed.is_none() {
-                    log::info!(version:% = version, peer:% = from; "a member vouches for its plan");
-                    self.confirmed = Some(version);
+            ToEntry::PlanVersion { version, current } => {
+                self.plan_versions.insert(from, version);
+                if current && self.min_version.is_none() {
+                    log::info!(version:% = version, peer:% = from;
+                        "a member confirmed that its plan is the newest");
+                    self.min_version = Some(version);
                 }
-                self.show();
+                self.publish_plan();
             }
-            ToEntry::Part(part) => self.take_part(from, part),
+            ToEntry::Part(part) => self.handle_part(from, part),
             ToEntry::Plan { version, .. } => {
                 log::warn!(version:% = version, peer:% = from;
-                    "a member sent a plan in one piece, which this entry never asks for");
+                    "a member sent a whole plan, which this entry never requests; it is ignored");
             }
             ToEntry::Upstreams(list) => {
-                self.lists(from).upstreams = Numbered::new(list.stamp, list.upstreams.clone());
-                self.take_upstreams(from, list);
+                self.lists_of(from).upstreams =
+                    NumberedList::new(list.stamp, list.upstreams.clone());
+                self.handle_upstreams(from, list);
             }
             ToEntry::UpstreamsChanged(difference) => {
-                let Some(next) = self.lists(from).upstreams.apply(difference) else {
-                    return self.redial(from, "upstreams");
+                let Some(next) = self.lists_of(from).upstreams.apply(difference) else {
+                    return self.reconnect(from, "upstreams");
                 };
-                self.lists(from).upstreams = next.clone();
+                self.lists_of(from).upstreams = next.clone();
                 let list = UpstreamList { stamp: next.stamp, upstreams: next.list };
-                self.take_upstreams(from, list);
+                self.handle_upstreams(from, list);
             }
             ToEntry::Loads(loads) => {
                 self.loads.send_replace(Arc::new(loads));
             }
             ToEntry::Entries(stamp, entries) => {
-                self.lists(from).entries = Numbered::new(stamp, entries.clone());
-                self.take_entries(stamp, entries);
+                self.lists_of(from).entries = NumberedList::new(stamp, entries.clone());
+                self.set_entries(stamp, entries);
             }
             ToEntry::EntriesChanged(difference) => {
-                let Some(next) = self.lists(from).entries.apply(difference) else {
-                    return self.redial(from, "entries");
+                let Some(next) = self.lists_of(from).entries.apply(difference) else {
+                    return self.reconnect(from, "entries");
                 };
-                self.lists(from).entries = next.clone();
-                self.take_entries(next.stamp, next.list);
+                self.lists_of(from).entries = next.clone();
+                self.set_entries(next.stamp, next.list);
             }
             ToEntry::Members(members) => self.members = members,
-            ToEntry::Quarantine(list) => self.take_quarantine(from, &list),
+            ToEntry::Quarantine(list) => self.handle_quarantine(from, &list),
         }
     }
 
-    fn lists(&mut self, from: SocketAddr) -> &mut Lists {
-        self.lists.entry(from).or_default()
+    fn lists_of(&mut self, from: SocketAddr) -> &mut MemberLists {
+        self.member_lists.entry(from).or_default()
     }
 
-    /// Ends the connection to a member whose difference is to a list that this entry does not have; the
-    /// next connection begins with the whole list.
-    fn redial(&mut self, from: SocketAddr, list: &str) {
-        log::error!(peer:% = from, list; "a difference to another list; the member is dialled again");
+    /// Closes the connection to a member that sent a difference from a list that this entry does not
+    /// have. A new connection starts with the whole list.
+    fn reconnect(&mut self, from: SocketAddr, list: &str) {
+        log::error!(peer:% = from, list;
+            "a member sent a difference from an unknown list; connecting to it again");
         if let Some(sender) = self.links.get(&from).and_then(Option::as_ref) {
             sender.abort();
         }
     }
 
-    fn take_part(&mut self, from: SocketAddr, part: Part) {
-        let (base, sent) = (part.label.base.unwrap_or(Version(0)), part.label.size);
-        let held = self.text.as_ref();
+    fn handle_part(&mut self, from: SocketAddr, part: Part) {
+        let (base, sent) = (part.id.base.unwrap_or(Version(0)), part.id.size);
+        let held = self.plan.as_ref();
         let text = held.map_or(&[][..], |it| it.1.as_slice());
-        match self.fetch.take(from, part, held.map(|it| it.0), text, Instant::now()) {
+        match self.fetch.take_part(from, part, held.map(|it| it.0), text, Instant::now()) {
             Ok(None) => {}
             Ok(Some((version, text))) => {
                 log::info!(version:% = version, peer:% = from, base:% = base, sent,
                     bytes = text.len(); "a plan arrived");
-                self.text = Some((version, Arc::new(text)));
-                self.show();
+                self.plan = Some((version, Arc::new(text)));
+                self.publish_plan();
             }
             Err(error) => log::error!(cause:% = error, base:% = base;
-                "a plan could not be unpacked; the whole text is asked for"),
+                "a plan can't be unpacked; the whole text is requested"),
         }
     }
 
-    /// Takes what another entry passes on. Loads still go to the leader of before, if any.
+    /// Takes lists that another entry forwarded. Loads still go to the last known leader, if any.
     pub(super) fn take_relay(&self, relay: Relay) {
         let (seated, listed) = (relay.seated, relay.upstreams.stamp);
-        let newer = {
+        let is_newer = {
             let news = self.news.borrow();
             seated > news.seated || listed > news.listed
         };
-        if newer {
+        if is_newer {
             log::info!(seated:% = seated, listed:% = listed, entries = relay.entries.len();
-                "took news from another entry");
+                "received newer lists from another entry");
         }
-        self.take_entries(relay.seated, relay.entries);
-        self.take_list(relay.upstreams);
+        self.set_entries(relay.seated, relay.entries);
+        self.set_upstreams(relay.upstreams);
     }
 
-    fn take_entries(&self, stamp: Stamp, entries: Vec<EntrySeen>) {
+    fn set_entries(&self, stamp: Stamp, entries: Vec<EntrySeen>) {
         self.news.send_if_modified(|news| {
             let newer = stamp > news.seated;
             if newer {
@@ -264,26 +269,26 @@
         });
     }
 
-    fn take_upstreams(&mut self, from: SocketAddr, list: UpstreamList) {
+    fn handle_upstreams(&mut self, from: SocketAddr, list: UpstreamList) {
         let listed = self.news.borrow().listed;
         if list.stamp < listed {
-            return self.take_list(list);
+            return self.set_upstreams(list);
         }
         let is_new = list.stamp.term > listed.term;
         if self.leader.replace(from) != Some(from) || is_new {
-            // One that has just begun to lead knows nothing of what the one before had decided.
+            // A new leader does not know the decisions of the previous one.
             let held = self.known.borrow().held(Instant::now());
             if !held.is_empty() {
-                self.tell_evidence(Evidence::Known(held));
+                self.report_evidence(Evidence::Known(held));
             }
-            for evidence in self.recent.all(Instant::now()) {
+            for evidence in self.evidence.all(Instant::now()) {
                 self.send_evidence(evidence);
             }
         }
-        self.take_list(list);
+        self.set_upstreams(list);
     }
 
-    fn take_list(&self, list: UpstreamList) {
+    fn set_upstreams(&self, list: UpstreamList) {
         self.news.send_if_modified(|news| {
             let newer = list.stamp > news.listed;
             if newer {
@@ -294,12 +299,12 @@
         });
     }
 
-    /// Shows the newest text. The first one is shown only if it is as new as one that a member vouched
-    /// for: an entry that comes back must not serve what was overtaken while it was away. One that is
-    /// newer will do, so that an entry that starts need not wait until changes cease.
-    fn show(&self) {
-        let Some((version, text)) = &self.text else { return };
-        if self.confirmed.is_none_or(|it| it > *version) {
+    /// Publishes the newest plan. The first one is published only if it is at least as new as the version
+    /// that a quorum confirmed: an entry that restarts must not serve a plan that was replaced meanwhile.
+    /// A newer one is accepted too, so that an entry can start while plans change continuously.
+    fn publish_plan(&self) {
+        let Some((version, text)) = &self.plan else { return };
+        if self.min_version.is_none_or(|it| it > *version) {
             return;
         }
         self.news.send_if_modified(|news| {
@@ -311,22 +316,22 @@
         });
     }
 
-    /// Asks for the newest plan that some member holds.
-    pub(super) fn fetch(&mut self) {
-        let have = self.text.as_ref().map(|it| it.0);
-        let holders: Vec<_> = self.held.iter().map(|(peer, it)| (*peer, *it)).collect();
+    /// Requests the next part of the newest plan that a member holds.
+    pub(super) fn request_part(&mut self) {
+        let have = self.plan.as_ref().map(|it| it.0);
+        let holders: Vec<_> = self.plan_versions.iter().map(|(peer, it)| (*peer, *it)).collect();
         let now = Instant::now();
-        let Some((question, peers)) = self.fetch.due(have, &holders, now) else { return };
-        let message = ToMember::Ask(question);
+        let Some((request, peers)) = self.fetch.next_request(have, &holders, now) else { return };
+        let message = ToMember::FetchPart(request);
         let reached = peers.into_iter().find(|it| {
             let sender = self.links.get(it).and_then(Option::as_ref);
             sender.is_some_and(|it| it.try_send(&message).is_ok())
         });
         let Some(peer) = reached else { return };
-        if question.begun.is_none() {
-            log::info!(version:% = question.version, peer:% = peer, held:% = have.unwrap_or(Version(0));
-                "asked a member for a plan");
+        if request.progress.is_none() {
+            log::info!(version:% = request.version, peer:% = peer, held:% = have.unwrap_or(Version(0));
+                "requested a plan from a member");
         }
-        self.fetch.asked(peer, now);
+        self.fetch.record_request(peer, now);
     }
 }
--- a/crates/registry/src/hub.rs
+++ b/crates/registry/src/hub.rs
@@ -1,6 +1,6 @@
-//! Hands the plan, the upstreams and the entries to the entries that are connected.
+//! Sends the plan's version, the upstreams and the entries to the connected entries.
 
-mod held;
+mod quarantine;
 
 use std::collections::{BTreeMap, HashMap};
 use std::pin::pin;
@@ -11,131 +11,132 @@
 use tokio::time::sleep;
 use wire::{Connection, Receiver, Sender};
 
-use crate::difference::Numbered;
+use crate::difference::NumberedList;
 use crate::driver::View;
-use crate::handout::{Digest, Published};
+use crate::lists::{EncodedLoads, Published};
 use crate::member::Confirmer;
 use crate::message::{
     EntrySeen, LoadReport, Stamp, ToEntry, ToMember, Upstream, UpstreamList, UpstreamLoad,
 };
+use crate::package_cache::PackageCache;
 use crate::quarantine::Quarantine;
-use crate::texts::Texts;
 
-/// How often entries tell their loads, and their sum is handed out, at most. What is not known yet of
-/// others' prompts makes two meet at one engine.
+/// The shortest interval at which entries report their loads and the leader sends out the sum. Two
+/// entries that don't know of each other's prompts yet send them to the same engine.
 const LOADS_PERIOD: Duration = Duration::from_millis(75);
 
-/// What an entry may be sent for loads, in bytes a second: two thirds of the 9 kB/s that control may
-/// take of a node two years on.
-const LOADS_RATE: usize = 6_000;
+/// The maximum rate at which an entry is sent loads, in bytes per second: two thirds of the 9 kB/s
+/// that control traffic may take of a node at the size expected in two years.
+const MAX_LOADS_RATE: usize = 6_000;
 
-/// What the load of one upstream takes in a message, in bytes: position, requests and tokens.
+/// The size of one upstream's load in a message, in bytes: position, requests and tokens.
 const LOAD_BYTES: usize = 5;
 
-/// How often loads are told where so many upstreams are listed: the more there are, the less often, so
-/// that what an entry is sent, and what the leader hears, stays within bounds.
+/// Returns the interval between two load reports for a number of listed upstreams. It grows with the
+/// number, to bound the traffic to each entry and to the leader.
 pub fn loads_period(upstreams: usize) -> Duration {
-    let needed = Duration::from_millis((upstreams * LOAD_BYTES * 1_000 / LOADS_RATE) as u64);
+    let needed = Duration::from_millis((upstreams * LOAD_BYTES * 1_000 / MAX_LOADS_RATE) as u64);
     needed.max(LOADS_PERIOD)
 }
 
-/// For how long entries that come and go are gathered before the others are told, so that many that
-/// come at once cost a few messages to each and not one for each of them.
-const GATHER: Duration = Duration::from_millis(60);
+/// How long the leader collects entries that connect and disconnect before it tells the others. Many
+/// that connect at once then cost each entry a few messages instead of one per entry.
+const BATCH_DELAY: Duration = Duration::from_millis(60);
 
-/// How long an entry may take to tell its level; one of the release before tells none.
-const LEVEL_PATIENCE: Duration = Duration::from_millis(60);
+/// How long to wait for an entry's protocol level; an entry of the previous release sends none.
+const LEVEL_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// What is handed out besides the plan.
+/// The lists that the leader sends to entries.
 #[derive(Clone, Debug, Default)]
-struct Handout {
+struct ListSet {
     upstreams: Published<Upstream>,
     entries: Published<EntrySeen>,
-    /// The number of the list of requests that are not sent, which is made for each telling: the times in
-    /// it run on.
+    /// The number of the list of held requests. The list itself is made anew for each message, since it
+    /// holds remaining times.
     quarantine: Stamp,
 }
 
 /// The entries that are connected to this member.
 pub(crate) struct Hub {
-    handout: watch::Sender<Handout>,
-    seen: Mutex<HashMap<u64, EntrySeen>>,
-    /// Told when an entry came or went.
-    moved: Notify,
+    lists: watch::Sender<ListSet>,
+    connected: Mutex<HashMap<u64, EntrySeen>>,
+    /// Notified when an entry connected or disconnected.
+    entries_changed: Notify,
     loads: Mutex<HashMap<u64, LoadReport>>,
-    digest: watch::Sender<Option<Arc<Digest>>>,
-    texts: Mutex<Texts>,
+    total_loads: watch::Sender<Option<Arc<EncodedLoads>>>,
+    packages: Mutex<PackageCache>,
     quarantine: Mutex<Quarantine>,
 }
 
 impl Hub {
     pub(crate) fn new() -> Self {
         Self {
-            handout: watch::Sender::new(Handout::default()),
-            seen: Mutex::default(),
-            moved: Notify::new(),
+            lists: watch::Sender::new(ListSet::default()),
+            connected: Mutex::default(),
+            entries_changed: Notify::new(),
             loads: Mutex::default(),
-            digest: watch::Sender::default(),
-            texts: Mutex::default(),
+            total_loads: watch::Sender::default(),
+            packages: Mutex::default(),
             quarantine: Mutex::default(),
         }
     }
 
-    fn texts(&self) -> MutexGuard<'_, Texts> {
-        self.texts.lock().unwrap_or_else(PoisonError::into_inner)
+    fn packages(&self) -> MutexGuard<'_, PackageCache> {
+        self.packages.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Hands out another list of upstreams.
+    /// Sets the list of upstreams that is sent to entries.
     pub(crate) fn set_upstreams(&self, list: UpstreamList) {
-        let next = Numbered::new(list.stamp, list.upstreams);
-        self.handout.send_modify(|it| report(it.upstreams.publish(next)));
+        let next = NumberedList::new(list.stamp, list.upstreams);
+        self.lists.send_modify(|it| log_failure(it.upstreams.publish(next)));
     }
 
-    /// Tells which entries are there, for as long as the member runs. The numbers of the lists go with
-    /// the term in which they were made.
-    pub(crate) async fn tell_entries(self: Arc<Self>, mut view: watch::Receiver<View>) {
+    /// Publishes the list of connected entries whenever it changes, for as long as the member runs. The
+    /// lists of a term are numbered within the term.
+    pub(crate) async fn publish_entries(self: Arc<Self>, mut view: watch::Receiver<View>) {
         loop {
-            let told = self.handout.borrow().entries.numbered.stamp.term;
+            let sent = self.lists.borrow().entries.numbered.stamp.term;
             tokio::select! {
-                () = self.moved.notified() => {}
-                changed = view.wait_for(|it| it.leads() && it.term != told) => {
+                () = self.entries_changed.notified() => {}
+                changed = view.wait_for(|it| it.leads() && it.term != sent) => {
                     if changed.is_err() {
                         return;
                     }
                 }
             }
             let entries = {
-                let seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-                seen.values().cloned().collect()
+                let connected = self.connected.lock().unwrap_or_else(PoisonError::into_inner);
+                connected.values().cloned().collect()
             };
             let term = view.borrow().term;
-            self.handout.send_modify(|it| {
+            self.lists.send_modify(|it| {
                 let last = it.entries.numbered.stamp;
                 let count = if last.term == term { last.count + 1 } else { 1 };
-                report(it.entries.publish(Numbered::new(Stamp { term, count }, entries)));
+                log_failure(it.entries.publish(NumberedList::new(Stamp { term, count }, entries)));
             });
-            sleep(GATHER).await;
+            sleep(BATCH_DELAY).await;
         }
     }
 
-    /// Adds up what the entries report, for as long as the member runs.
-    pub(crate) async fn add_loads(self: Arc<Self>) {
+    /// Publishes the sum of the loads that entries report, for as long as the member runs.
+    pub(crate) async fn publish_loads(self: Arc<Self>) {
         loop {
-            let count = self.handout.borrow().upstreams.numbered.list.len();
+            let count = self.lists.borrow().upstreams.numbered.list.len();
             sleep(loads_period(count)).await;
-            let listed = self.handout.borrow().upstreams.numbered.stamp;
+            let listed = self.lists.borrow().upstreams.numbered.stamp;
             let report = LoadReport { listed, loads: self.sum(listed) };
-            if self.digest.borrow().as_ref().is_some_and(|it| it.report == report) {
+            if self.total_loads.borrow().as_ref().is_some_and(|it| it.report == report) {
                 continue;
             }
-            match Digest::new(report) {
-                Ok(digest) => drop(self.digest.send_replace(Some(Arc::new(digest)))),
-                Err(error) => log::error!(cause:% = error; "loads can't be handed out"),
+            match EncodedLoads::new(report) {
+                Ok(total_loads) => drop(self.total_loads.send_replace(Some(Arc::new(total_loads)))),
+                Err(error) => log::error!(cause:% = error;
+                    "the sum of the loads can't be encoded; entries keep the last one"),
             }
         }
     }
 
-    /// The sum of the reports that refer to one list.
+    /// Sums the reports whose positions refer to the list `listed`.
     fn sum(&self, listed: Stamp) -> Vec<UpstreamLoad> {
         let reports = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
         let mut sums: BTreeMap<u32, UpstreamLoad> = BTreeMap::new();
@@ -148,33 +149,41 @@
         sums.into_values().collect()
     }
 
-    fn enter(&self, life: u64, entry: EntrySeen) {
+    fn add_entry(&self, incarnation: u64, entry: EntrySeen) {
         log::info!(entry = entry.name.as_str(), address:% = entry.address; "an entry connected");
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).insert(life, entry);
-        self.moved.notify_one();
+        self.connected.lock().unwrap_or_else(PoisonError::into_inner).insert(incarnation, entry);
+        self.entries_changed.notify_one();
     }
 
-    fn leave(&self, life: u64) {
-        self.loads.lock().unwrap_or_else(PoisonError::into_inner).remove(&life);
-        let gone = self.seen.lock().unwrap_or_else(PoisonError::into_inner).remove(&life);
+    fn remove_entry(&self, incarnation: u64) {
+        self.loads.lock().unwrap_or_else(PoisonError::into_inner).remove(&incarnation);
+        let gone =
+            self.connected.lock().unwrap_or_else(PoisonError::into_inner).remove(&incarnation);
         if let Some(entry) = gone {
-            log::info!(entry = entry.name.as_str(); "an entry is gone");
-            self.moved.notify_one();
+            log::info!(entry = entry.name.as_str(); "an entry disconnected or is leaving");
+            self.entries_changed.notify_one();
         }
     }
 
     /// Serves one entry until its connection ends.
-    pub(crate) async fn serve(&self, life: u64, connection: Connection, confirmer: Confirmer) {
+    pub(crate) async fn serve(
+        &self,
+        incarnation: u64,
+        connection: Connection,
+        confirmer: Confirmer,
+    ) {
         let (sender, receiver) = connection.split::<ToEntry, ToMember>();
-        if let Err(error) = self.talk(life, &sender, receiver, &confirmer).await {
+        if let Err(error) = self.exchange_messages(incarnation, &sender, receiver, &confirmer).await
+        {
             log::info!(cause:% = error; "the connection to an entry ended");
         }
-        self.leave(life);
+        self.remove_entry(incarnation);
     }
 
-    async fn talk(
+    /// Handles an entry's messages and sends it updates until the connection ends.
+    async fn exchange_messages(
         &self,
-        life: u64,
+        incarnation: u64,
         sender: &Sender<ToEntry>,
         mut receiver: Receiver<ToMember>,
         confirmer: &Confirmer,
@@ -182,71 +191,71 @@
         let mut view = confirmer.view.clone();
         let mut confirming = pin!(confirmer.confirm());
         let mut confirmed = false;
-        let mut handout = self.handout.subscribe();
-        let mut digest = self.digest.subscribe();
-        sender.wait_level(LEVEL_PATIENCE).await;
-        let mut told = Told::default();
-        let mut behind = true;
+        let mut lists = self.lists.subscribe();
+        let mut total_loads = self.total_loads.subscribe();
+        sender.wait_level(LEVEL_TIMEOUT).await;
+        let mut sent = Sent::default();
+        let mut outdated = true;
         loop {
             tokio::select! {
-                // News of a state wait here, not in the queue: who reads slowly gets the newest alone, and
-                // what is held for one connection is bounded by what one telling takes.
-                drained = sender.drained(), if behind => {
+                // Updates wait here until the queue is empty: an entry that reads slowly gets only the
+                // newest state, and the memory per connection is bounded by the size of one update.
+                drained = sender.drained(), if outdated => {
                     drained?;
-                    behind = false;
-                    let seen = view.borrow_and_update().clone();
-                    if told.held.is_none_or(|it| it.0 < seen.held.version) {
-                        self.texts().note(&seen.held);
+                    outdated = false;
+                    let current_view = view.borrow_and_update().clone();
+                    if sent.plan.is_none_or(|it| it.0 < current_view.plan.version) {
+                        self.packages().add_plan(&current_view.plan);
                     }
-                    told.tell_view(sender, &seen, confirmed).await?;
-                    let current = handout.borrow_and_update().clone();
-                    if seen.leads() {
-                        // Before the upstreams: an entry without them sends nothing.
-                        self.tell_quarantine(sender, &mut told, seen.term, &current).await?;
-                        told.tell_handout(sender, seen.term, &current).await?;
-                        let loads = digest.borrow_and_update().clone();
-                        told.tell_loads(sender, loads).await?;
+                    sent.send_view(sender, &current_view, confirmed).await?;
+                    let current_lists = lists.borrow_and_update().clone();
+                    if current_view.leads() {
+                        // Sent before the upstreams: without those an entry sends no requests yet.
+                        self.send_quarantine(sender, &mut sent, current_view.term, &current_lists).await?;
+                        sent.send_lists(sender, current_view.term, &current_lists).await?;
+                        let loads = total_loads.borrow_and_update().clone();
+                        sent.send_loads(sender, loads).await?;
                     }
                 }
-                () = &mut confirming, if !confirmed => (confirmed, behind) = (true, true),
-                changed = view.changed(), if !behind => {
+                () = &mut confirming, if !confirmed => (confirmed, outdated) = (true, true),
+                changed = view.changed(), if !outdated => {
                     if changed.is_err() {
                         return Ok(());
                     }
-                    behind = true;
+                    outdated = true;
                 }
-                changed = digest.changed(), if !behind => {
+                changed = total_loads.changed(), if !outdated => {
                     if changed.is_err() {
                         return Ok(());
                     }
-                    behind = true;
+                    outdated = true;
                 }
-                changed = handout.changed(), if !behind => {
+                changed = lists.changed(), if !outdated => {
                     if changed.is_err() {
                         return Ok(());
                     }
-                    behind = true;
+                    outdated = true;
                 }
                 message = receiver.recv() => match message? {
-                    Some(ToMember::Hello(entry)) => self.enter(life, entry),
-                    Some(ToMember::Leave) => self.leave(life),
+                    Some(ToMember::Hello(entry)) => self.add_entry(incarnation, entry),
+                    Some(ToMember::Leave) => self.remove_entry(incarnation),
                     Some(ToMember::Loads(report)) => {
                         let mut loads = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
-                        loads.insert(life, report);
+                        loads.insert(incarnation, report);
                     }
                     Some(ToMember::Evidence(evidence)) => {
-                        let seen = view.borrow().clone();
-                        self.take_evidence(life, evidence, &seen);
+                        let current_view = view.borrow().clone();
+                        self.take_evidence(incarnation, evidence, &current_view);
                     }
-                    Some(ToMember::Fetch(version)) => {
-                        let held = view.borrow().held.clone();
-                        if held.version >= version {
-                            let (version, text) = (held.version, held.text.clone());
+                    Some(ToMember::FetchPlan(version)) => {
+                        let plan = view.borrow().plan.clone();
+                        if plan.version >= version {
+                            let (version, text) = (plan.version, plan.text.clone());
                             sender.send(&ToEntry::Plan { version, text }).await?;
                         }
                     }
-                    Some(ToMember::Ask(question)) => {
-                        let part = self.texts().answer(&question);
+                    Some(ToMember::FetchPart(request)) => {
+                        let part = self.packages().answer(&request);
                         if let Some(part) = part {
                             sender.send(&ToEntry::Part(part)).await?;
                         }
@@ -258,35 +267,35 @@
     }
 }
 
-/// Logs what can't be handed out.
-fn report(published: types::StepResult<()>) {
+/// Logs that a list can't be encoded.
+fn log_failure(published: types::StepResult<()>) {
     if let Err(error) = published {
-        log::error!(cause:% = error; "a list can't be handed out; the one before stays");
+        log::error!(cause:% = error; "a list can't be encoded; entries keep the previous one");
     }
 }
 
-/// What one entry was told.
+/// The state that one entry was sent last.
 #[derive(Default)]
-struct Told {
-    held: Option<(types::Version, bool)>,
+struct Sent {
+    plan: Option<(types::Version, bool)>,
     members: Vec<std::net::SocketAddr>,
     upstreams: Stamp,
     entries: Stamp,
-    loads: Option<Arc<Digest>>,
+    loads: Option<Arc<EncodedLoads>>,
     quarantine: Stamp,
 }
 
-impl Told {
-    async fn tell_view(
+impl Sent {
+    async fn send_view(
         &mut self,
         sender: &Sender<ToEntry>,
         view: &View,
         confirmed: bool,
     ) -> types::StepResult<()> {
-        let (version, current) = (view.held.version, confirmed && view.current);
-        if self.held != Some((version, current)) {
-            self.held = Some((version, current));
-            sender.send(&ToEntry::Held { version, current }).await?;
+        let (version, current) = (view.plan.version, confirmed && view.current);
+        if self.plan != Some((version, current)) {
+            self.plan = Some((version, current));
+            sender.send(&ToEntry::PlanVersion { version, current }).await?;
         }
         if !view.members.is_empty() && self.members != view.members {
             self.members.clone_from(&view.members);
@@ -295,10 +304,10 @@
         Ok(())
     }
 
-    async fn tell_loads(
+    async fn send_loads(
         &mut self,
         sender: &Sender<ToEntry>,
-        loads: Option<Arc<Digest>>,
+        loads: Option<Arc<EncodedLoads>>,
     ) -> types::StepResult<()> {
         let Some(loads) = loads else { return Ok(()) };
         if self.loads.as_ref().is_some_and(|it| Arc::ptr_eq(it, &loads)) {
@@ -309,17 +318,17 @@
         sent
     }
 
-    async fn tell_handout(
+    async fn send_lists(
         &mut self,
         sender: &Sender<ToEntry>,
         term: u64,
-        handout: &Handout,
+        lists: &ListSet,
     ) -> types::StepResult<()> {
-        if handout.upstreams.numbered.stamp.term == term {
-            handout.upstreams.tell(sender, &mut self.upstreams).await?;
+        if lists.upstreams.numbered.stamp.term == term {
+            lists.upstreams.send_newer(sender, &mut self.upstreams).await?;
         }
-        if handout.entries.numbered.stamp.term == term {
-            handout.entries.tell(sender, &mut self.entries).await?;
+        if lists.entries.numbered.stamp.term == term {
+            lists.entries.send_newer(sender, &mut self.entries).await?;
         }
         Ok(())
     }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,14 +1,14 @@
 //! The replicated registry of a deployment: the plan in force, the upstreams, and the entries.
 //!
-//! Members hold one plan, a versioned text, in a replicated log; the highest version wins. They
-//! find each other by a few seed addresses, form a cluster without an operator, and replace
-//! voters that are gone. The leader reads the platform's list of upstreams and hands it out.
-//! Entries follow every member they can reach and use the newest of what they are told.
+//! Members store one plan, a versioned text, in a replicated log; the highest version wins. They
+//! discover each other through a few seed addresses, form a cluster without an operator, and replace
+//! lost voters. The leader reads the platform's list of upstreams and sends it to the entries. Entries
+//! connect to every member that they can reach and use the newest data that they receive.
 
 pub mod difference;
 pub mod fetch;
 pub mod message;
-pub mod parcel;
+pub mod package;
 pub mod plan;
 pub mod quarantine;
 
@@ -17,13 +17,13 @@
 mod driver;
 mod folder;
 mod follow;
-mod handout;
 mod hub;
+mod lists;
 mod member;
+mod package_cache;
 mod peers;
 mod reader;
 mod repair;
-mod texts;
 
 pub use current::CurrentView;
 pub use digest::RequestDigest;
@@ -34,18 +34,18 @@
     EntrySeen, Health, LoadReport, Relay, Stamp, Upstream, UpstreamList, UpstreamLoad,
 };
 pub use reader::{ListSource, Listing};
-pub use repair::{DEAD_AFTER, LEARNER_GONE, PeerView, RepairView, next_membership};
+pub use repair::{LEARNER_TIMEOUT, PeerView, RepairView, VOTER_TIMEOUT, next_membership};
 
 use wire::Secret;
 
-/// What the processes of one deployment prove to each other at the start of a connection. The
-/// platform hands out no secret; the proof keeps other programs' bytes from being taken for ours.
-const DEPLOYMENT: &[u8] = b"mothplank deployment v1";
+/// The secret with which the processes of a deployment authenticate their connections. It is public,
+/// since the platform provides no secrets; it only keeps other programs from being taken for ours.
+const DEPLOYMENT_SECRET: &[u8] = b"mothplank deployment v1";
 
 /// Returns the secret of the connections between the system's processes.
 ///
 /// # Panics
-/// Never: the constant is long enough.
+/// Never panics: the constant is long enough.
 pub fn deployment_secret() -> Secret {
-    Secret::new(DEPLOYMENT).expect("the constant is long enough")
+    Secret::new(DEPLOYMENT_SECRET).expect("the constant is long enough")
 }
--- a/crates/registry/src/member.rs
+++ b/crates/registry/src/member.rs
@@ -1,4 +1,4 @@
-//! A running member.
+//! A running member of the registry, and its interface for operators' requests.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,62 +17,62 @@
 use crate::hub::Hub;
 use crate::message::PeerMessage;
 use crate::peers::Peers;
-use crate::plan::{Held, Put};
+use crate::plan::{PutPlan, StoredPlan};
 use crate::quarantine;
 use crate::reader::{self, ListSource};
 
-/// Inputs that wait for the driver; a stalled disk must not fill the memory.
-const INPUTS: usize = 4_096;
+/// The maximum number of inputs that wait for the driver, to bound the memory while the disk stalls.
+const MAX_QUEUED_INPUTS: usize = 4_096;
 
-/// How long an order or a read waits for its answer. Operators try another member after a second.
-const ANSWER: Duration = Duration::from_millis(2_500);
+/// The timeout of an order or a read. Operators try another member after a second.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long an order waits for a leader to be known.
-const LEADER_WAIT: Duration = Duration::from_millis(600);
+/// How long an order or a read waits until a leader is known.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The pause before the driver is asked again whether the plan is the newest: as long as it takes to open
-/// a data folder that failed again.
+/// The pause before the driver is asked again whether the plan is the newest: as long as it waits
+/// before it opens a failed data folder again.
 const CONFIRM_PAUSE: Duration = Duration::from_millis(400);
 
-/// How long a leader that ends waits for another to lead.
-const RESIGN: Duration = Duration::from_millis(600);
+/// How long a leader that shuts down waits for another one to lead.
+const RESIGN_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Reads what the platform's operators send; it decides nothing of what is kept.
+/// Validates the plans that operators send. It does not decide which plan is stored.
 pub trait Codec: Send + Sync + 'static {
     /// Checks a plan and returns its version.
     ///
     /// # Errors
-    /// With what is wrong with it, for the operator.
+    /// Returns a description of the fault, for the operator.
     fn check(&self, text: &[u8]) -> Result<Version, String>;
 }
 
-/// What a member needs.
+/// The settings of a member.
 #[derive(Clone, Debug)]
 pub struct MemberConfig {
-    /// Its VM.
+    /// The VM of the member.
     pub vm: VmName,
-    /// The folder of its own on the disk.
+    /// The data folder, which no other process uses.
     pub data_dir: PathBuf,
-    /// Where members and entries reach it.
+    /// The address at which members and entries reach it.
     pub address: SocketAddr,
-    /// Where members were, when the settings were written.
+    /// The addresses of members at the time when the settings were written.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system starts for the first time; the first seed then starts a new cluster.
     pub bootstrap: bool,
-    /// How many members may be lost at once, with their disks.
+    /// The number of members that may be lost at once, with their disks.
     pub losses: usize,
 }
 
 /// The answer to an operator's order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// A quorum holds this plan, or one with a version as high.
+    /// A quorum stores this plan, or one with the same or a higher version. Holds the stored version.
     Accepted(Version),
-    /// The plan can't be used.
+    /// The plan is invalid, for this reason.
     Invalid(String),
     /// Another member leads.
     Elsewhere(SocketAddr),
-    /// No quorum answers, or too few members hold the log yet.
+    /// No quorum answers, or the cluster has too few voters yet.
     Unavailable,
 }
 
@@ -80,14 +80,14 @@
 #[derive(Clone, Debug)]
 pub enum ReadOutcome {
     /// The newest plan, confirmed by a quorum.
-    Plan(Version, Arc<Held>),
+    Plan(Version, Arc<StoredPlan>),
     /// Another member leads.
     Elsewhere(SocketAddr),
     /// No quorum answers, or there is no plan yet.
     Unavailable,
 }
 
-/// The answer to an operator's question about held requests; the leader alone knows them.
+/// The answer to an operator's request about held requests, which only the leader knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QuarantineOutcome<T> {
     /// The leader's answer.
@@ -112,7 +112,7 @@
     /// Starts a member.
     ///
     /// # Errors
-    /// Where its address can't be bound or its thread can't be started.
+    /// Fails if its address can't be bound or its thread can't be started.
     pub async fn spawn<L: ListSource>(
         config: MemberConfig,
         codec: C,
@@ -123,23 +123,27 @@
         let listener = Listener::bind(config.address, &secret, me.clone()).await?;
         let address = config.address;
         let peers = Arc::new(Peers::new(secret, me, address, config.seeds.clone()));
-        let (inputs, waiting) = mpsc::sync_channel(INPUTS);
+        let (inputs, waiting) = mpsc::sync_channel(MAX_QUEUED_INPUTS);
         let (publish, view) = watch::channel(View::default());
-        let founds = config.bootstrap && config.seeds.first() == Some(&address);
-        let driver =
-            DriverConfig { data_dir: config.data_dir, address, founds, losses: config.losses };
-        let theirs = Arc::clone(&peers);
+        let bootstraps = config.bootstrap && config.seeds.first() == Some(&address);
+        let driver = DriverConfig {
+            data_dir: config.data_dir,
+            address,
+            bootstraps,
+            max_losses: config.losses,
+        };
+        let driver_peers = Arc::clone(&peers);
         let waker = inputs.clone();
         std::thread::Builder::new()
             .name("driver".to_owned())
-            .spawn(move || driver::run(driver, theirs, publish, waker, waiting))
+            .spawn(move || driver::run(driver, driver_peers, publish, waker, waiting))
             .map_err(|e| StepError::new("start driver", e))?;
         let hub = Arc::new(Hub::new());
         let confirmer = Confirmer { inputs: inputs.clone(), view: view.clone() };
-        tokio::spawn(accept(listener, inputs.clone(), Arc::clone(&hub), confirmer));
-        tokio::spawn(Arc::clone(&hub).add_loads());
-        tokio::spawn(Arc::clone(&hub).tell_entries(view.clone()));
-        tokio::spawn(Arc::clone(&hub).settle_ends(view.clone()));
+        tokio::spawn(accept_connections(listener, inputs.clone(), Arc::clone(&hub), confirmer));
+        tokio::spawn(Arc::clone(&hub).publish_loads());
+        tokio::spawn(Arc::clone(&hub).publish_entries(view.clone()));
+        tokio::spawn(Arc::clone(&hub).decide_ends(view.clone()));
         tokio::spawn(reader::run(list, Arc::clone(&hub), view.clone()));
         Ok(Self { codec, inputs, view, peers, hub, address })
     }
@@ -149,43 +153,43 @@
         self.peers.set_seeds(seeds);
     }
 
-    /// Holds a plan.
+    /// Stores a plan, if its version is higher than the stored one.
     pub async fn put(&self, text: Vec<u8>) -> PutOutcome {
-        // Checked before versions are compared: an invalid plan is refused at any version.
+        // Checked before versions are compared, so that an invalid plan is rejected whatever its version.
         let version = match self.codec.check(&text) {
             Ok(version) => version,
             Err(why) => return PutOutcome::Invalid(why),
         };
-        let put = Put { version, text };
-        match self.ask(|reply| Input::Put(put.clone(), reply)).await {
-            Some(Answer::Held(held)) => PutOutcome::Accepted(held.version),
-            Some(Answer::Elsewhere(Some(leader))) => PutOutcome::Elsewhere(leader),
-            Some(Answer::Elsewhere(None) | Answer::Thin) | None => PutOutcome::Unavailable,
+        let put = PutPlan { version, text };
+        match self.ask_driver(|reply| Input::Put(put.clone(), reply)).await {
+            Some(Answer::Plan(held)) => PutOutcome::Accepted(held.version),
+            Some(Answer::NotLeader(Some(leader))) => PutOutcome::Elsewhere(leader),
+            Some(Answer::NotLeader(None) | Answer::TooFewVoters) | None => PutOutcome::Unavailable,
         }
     }
 
-    /// Reads the newest plan.
+    /// Reads the newest plan, as confirmed by a quorum.
     pub async fn read(&self) -> ReadOutcome {
-        match self.ask(Input::Read).await {
-            Some(Answer::Held(held)) if held.version > Version(0) => {
+        match self.ask_driver(Input::Read).await {
+            Some(Answer::Plan(held)) if held.version > Version(0) => {
                 ReadOutcome::Plan(held.version, held)
             }
-            Some(Answer::Elsewhere(Some(leader))) => ReadOutcome::Elsewhere(leader),
+            Some(Answer::NotLeader(Some(leader))) => ReadOutcome::Elsewhere(leader),
             Some(_) | None => ReadOutcome::Unavailable,
         }
     }
 
-    /// Lists the requests that are not sent.
+    /// Returns the requests that are held.
     pub fn held(&self) -> QuarantineOutcome<Vec<quarantine::Held>> {
-        self.lead(|term| self.hub.held(term))
+        self.as_leader(|term| self.hub.held(term))
     }
 
-    /// Has a held request sent as any other again; tells whether it was held.
+    /// Releases a held request; returns whether it was held.
     pub fn release(&self, digest: RequestDigest) -> QuarantineOutcome<bool> {
-        self.lead(|term| self.hub.release(digest, term))
+        self.as_leader(|term| self.hub.release(digest, term))
     }
 
-    fn lead<T>(&self, act: impl FnOnce(u64) -> T) -> QuarantineOutcome<T> {
+    fn as_leader<T>(&self, act: impl FnOnce(u64) -> T) -> QuarantineOutcome<T> {
         let (leads, term, leader) = {
             let view = self.view.borrow();
             (view.leads(), view.term, view.leader)
@@ -197,35 +201,35 @@
         }
     }
 
-    /// Hands leadership over and waits a moment for another leader.
+    /// Transfers leadership, and waits up to [`RESIGN_TIMEOUT`] for another leader.
     pub async fn resign(&self) {
         let mut view = self.view.clone();
         if !view.borrow().leads() || self.inputs.try_send(Input::Resign).is_err() {
             return;
         }
-        let by = Instant::now() + RESIGN;
-        // Without a successor in time the others elect one.
-        let _ = timeout_at(by, view.wait_for(|it| it.role != Role::Leader)).await;
+        let deadline = Instant::now() + RESIGN_TIMEOUT;
+        // If the transfer fails, the others elect a leader later.
+        let _ = timeout_at(deadline, view.wait_for(|it| it.role != Role::Leader)).await;
     }
 
-    /// Asks the driver, once a leader is known.
-    async fn ask(&self, input: impl Fn(oneshot::Sender<Answer>) -> Input) -> Option<Answer> {
-        let by = Instant::now() + ANSWER;
+    /// Sends an input to the driver once a leader is known, and waits for the answer.
+    async fn ask_driver(&self, input: impl Fn(oneshot::Sender<Answer>) -> Input) -> Option<Answer> {
+        let deadline = Instant::now() + ANSWER_TIMEOUT;
         let mut view = self.view.clone();
         let known = view.wait_for(|it| it.leader.is_some());
-        timeout_at(Instant::now() + LEADER_WAIT, known).await.ok()?.ok()?;
+        timeout_at(Instant::now() + LEADER_TIMEOUT, known).await.ok()?.ok()?;
         let (reply, answer) = oneshot::channel();
         self.inputs.try_send(input(reply)).ok()?;
-        let answer = timeout_at(by, answer).await.ok()?.ok()?;
+        let answer = timeout_at(deadline, answer).await.ok()?.ok()?;
         match answer {
-            // Its own address tells that the leadership moves just now.
-            Answer::Elsewhere(Some(it)) if it == self.address => None,
+            // The leader's address is this member's own: leadership is being transferred right now.
+            Answer::NotLeader(Some(it)) if it == self.address => None,
             answer => Some(answer),
         }
     }
 }
 
-/// Shows the driver's view to an entry's connection, and has a quorum confirm it.
+/// Gives an entry's connection access to the driver's view, and has a quorum confirm it.
 #[derive(Clone)]
 pub(crate) struct Confirmer {
     inputs: mpsc::SyncSender<Input>,
@@ -233,8 +237,8 @@
 }
 
 impl Confirmer {
-    /// Returns once a quorum has confirmed, after the call, that nothing newer than the plan in the
-    /// view had been acknowledged.
+    /// Returns once a quorum has confirmed, after the call, that no plan newer than the one in the view
+    /// had been acknowledged.
     pub(crate) async fn confirm(&self) {
         loop {
             let (reply, confirmed) = oneshot::channel();
@@ -242,14 +246,14 @@
             if asked && confirmed.await.is_ok() {
                 return;
             }
-            // The driver has too much to take in, or opens its data folder anew.
+            // The driver's queue is full, or the driver is opening its data folder again.
             sleep(CONFIRM_PAUSE).await;
         }
     }
 }
 
-/// Takes connections of other members and of entries.
-async fn accept(
+/// Accepts connections from other members and from entries.
+async fn accept_connections(
     mut listener: Listener,
     inputs: mpsc::SyncSender<Input>,
     hub: Arc<Hub>,
@@ -259,13 +263,14 @@
         let (hello, connection) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::error!(cause:% = error; "the listener for members and entries ended");
+                log::error!(cause:% = error;
+                    "the listener for members and entries failed; no further connections are accepted");
                 return;
             }
         };
         match hello.kind {
             Kind::Member => {
-                tokio::spawn(take(connection, inputs.clone()));
+                tokio::spawn(receive_messages(connection, inputs.clone()));
             }
             Kind::Entry => {
                 let (hub, confirmer) = (Arc::clone(&hub), confirmer.clone());
@@ -275,8 +280,8 @@
     }
 }
 
-/// Takes another member's messages.
-async fn take(connection: Connection, inputs: mpsc::SyncSender<Input>) {
+/// Passes another member's messages to the driver.
+async fn receive_messages(connection: Connection, inputs: mpsc::SyncSender<Input>) {
     let (_sender, mut receiver) = connection.split::<PeerMessage, PeerMessage>();
     while let Ok(Some(message)) = receiver.recv().await {
         let input = match message {
--- a/crates/registry/src/message.rs
+++ b/crates/registry/src/message.rs
@@ -8,126 +8,126 @@
 use types::{LogIndex, NodeId, Version};
 
 use crate::difference::Difference;
-use crate::parcel::{Label, Part};
+use crate::package::{PackageId, Part};
 use crate::quarantine::{Evidence, QuarantineList};
 
-/// What one member sends another.
+/// A message from one member to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A message of the replicated log, and where its sender is reached: one that joins knows no
-    /// membership yet, and could not answer.
+    /// A message of the replicated log, and the address of its sender: a node that joins does not know
+    /// the membership yet and could not answer otherwise.
     Log(Message, SocketAddr),
-    /// A node without a leader asks to take part.
+    /// A node without a leader asks to join.
     Join {
         /// The node.
         node: NodeId,
-        /// Where members reach it.
+        /// The address at which members reach it.
         address: SocketAddr,
-        /// Whether the request was passed on by a member; it is passed on only once.
+        /// Whether a member forwarded the request; it is forwarded only once.
         relayed: bool,
     },
-    /// Asks the leader how far the log is committed, as a quorum confirms it after this question.
+    /// Asks the leader for a commit index that a quorum confirms after this question.
     Confirm {
-        /// Repeated by the answer.
+        /// The number of the question; the answer repeats it.
         ticket: u64,
-        /// Where the asking member is reached.
+        /// The address of the asking member.
         from: SocketAddr,
     },
     /// Answers `Confirm`.
     Confirmed {
-        /// The ticket of the question.
+        /// The number of the question.
         ticket: u64,
-        /// How far the log was committed.
+        /// The confirmed commit index.
         index: LogIndex,
     },
 }
 
-/// What an entry sends a member.
+/// A message from an entry to a member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToMember {
     /// The entry's first message.
     Hello(EntrySeen),
-    /// The entry ends and should not be named to others any more.
+    /// The entry is shutting down and must be removed from the list of entries.
     Leave,
-    /// What the entry has under way at upstreams.
+    /// The load that the entry has in flight at each upstream.
     Loads(LoadReport),
-    /// Asks for the plan with this version, or a newer one, in one piece: what entries of the release
-    /// before ask. Members go first in a rolling upgrade.
-    Fetch(Version),
+    /// Asks for the plan with this version, or a newer one, in one message. Entries of the previous
+    /// release send it: a rolling upgrade starts with the members.
+    FetchPlan(Version),
     /// Asks for the next part of a plan.
-    Ask(Question),
-    /// Tells the leader of requests under which upstreams end.
+    FetchPart(PartRequest),
+    /// Reports requests that may terminate upstreams to the leader.
     Evidence(Evidence),
 }
 
-/// A question for the next part of a plan.
+/// A request for the next part of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
-    /// The version that is wanted, or a newer one.
+pub struct PartRequest {
+    /// The lowest version that the entry wants.
     pub version: Version,
-    /// The version that the entry has and can take a difference from.
+    /// The version that the entry has, to which a difference may be sent.
     pub held: Option<Version>,
-    /// The parcel that has begun to arrive.
-    pub begun: Option<Begun>,
+    /// The package of which some parts have arrived.
+    pub progress: Option<PackageProgress>,
 }
 
-/// How much of a parcel has arrived.
+/// The progress of receiving a package.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Begun {
-    /// The parcel.
-    pub label: Label,
-    /// The bytes of it that are there.
+pub struct PackageProgress {
+    /// The id of the package.
+    pub id: PackageId,
+    /// The number of bytes that have arrived.
     pub offset: u32,
 }
 
-/// What a member sends an entry.
+/// A message from a member to an entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// The plan that the member has applied.
-    Held {
-        /// Its version; zero where there is none.
+    /// The version of the plan that the member has applied.
+    PlanVersion {
+        /// The version; zero if there is no plan.
         version: Version,
-        /// Whether a quorum confirmed, after the entry connected, that nothing newer had been
+        /// Whether a quorum confirmed, after the entry connected, that no newer plan had been
         /// acknowledged.
         current: bool,
     },
-    /// A plan, as the operator sent it, for an entry of the release before.
+    /// A whole plan, as the operator sent it, for an entry of the previous release.
     Plan {
-        /// Its version.
+        /// The version of the plan.
         version: Version,
-        /// Its text.
+        /// The text of the plan.
         text: Vec<u8>,
     },
     /// The upstreams, from the leader.
     Upstreams(UpstreamList),
-    /// The entries that are there, from the leader.
+    /// The connected entries, from the leader.
     Entries(Stamp, Vec<EntrySeen>),
-    /// What all entries together have under way at upstreams, from the leader.
+    /// The sum of the loads that all entries have in flight at upstreams, from the leader.
     Loads(LoadReport),
     /// The members that an entry may connect to.
     Members(Vec<SocketAddr>),
     /// A part of a plan.
     Part(Part),
-    /// How the entries that are there differ from those that the leader told last.
+    /// The difference between the connected entries and the list that the leader sent last.
     EntriesChanged(Difference<EntrySeen, SocketAddr>),
-    /// How the upstreams differ from those that the leader told last.
+    /// The difference between the upstreams and the list that the leader sent last.
     UpstreamsChanged(Difference<Upstream, String>),
-    /// The requests that are not sent, from the leader.
+    /// The requests that entries must not send, from the leader.
     Quarantine(QuarantineList),
 }
 
-/// The level of an entry that takes differences of lists.
-pub const DIFFERENCES: u8 = 1;
+/// The protocol level from which an entry accepts differences of lists.
+pub const DIFFERENCES_LEVEL: u8 = 1;
 
-/// The level of an entry, or a member, that knows of requests that are not sent.
-pub const QUARANTINE: u8 = 2;
+/// The protocol level from which entries and members support the quarantine of requests.
+pub const QUARANTINE_LEVEL: u8 = 2;
 
-/// Orders what successive leaders hand out.
+/// The number of a list that a leader publishes. It orders the lists of successive leaders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Stamp {
-    /// The leader's term.
+    /// The term of the leader.
     pub term: u64,
-    /// The count within the term.
+    /// The number within the term.
     pub count: u64,
 }
 
@@ -137,32 +137,32 @@
     }
 }
 
-/// An entry, as it introduced itself.
+/// An entry, as it describes itself when it connects.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntrySeen {
-    /// Its VM's name.
+    /// The name of its VM.
     pub name: String,
-    /// Where other entries reach it.
+    /// The address at which other entries reach it.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: String,
 }
 
-/// The upstreams at one moment.
+/// A list of all upstreams at one time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamList {
-    /// Orders the lists.
+    /// The number of the list.
     pub stamp: Stamp,
     /// The upstreams.
     pub upstreams: Vec<Upstream>,
 }
 
-/// What an entry in touch with the registry passes on to one that is not.
+/// The lists that an entry forwards to one that has no connection to the registry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Relay {
-    /// Orders the lists of entries.
+    /// The number of the list of entries.
     pub seated: Stamp,
-    /// The entries that are there.
+    /// The connected entries.
     pub entries: Vec<EntrySeen>,
     /// The upstreams.
     pub upstreams: UpstreamList,
@@ -173,43 +173,43 @@
 pub enum Health {
     /// It takes new work.
     Ready,
-    /// It is leaving and must get no new work.
+    /// It is about to terminate and must get no new work.
     Draining,
 }
 
-/// One life of an upstream, as the platform lists it.
+/// One incarnation of an upstream, as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// The id of this life.
+    /// The id of this incarnation.
     pub id: String,
     /// The service it belongs to.
     pub service: String,
-    /// Where it listens. The address may be used by another upstream later.
+    /// The address at which it listens. Another upstream may use the address later.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: String,
-    /// How many requests it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it takes new work.
     pub health: Health,
 }
 
-/// What is under way at upstreams; those without anything are left out.
+/// The loads in flight at upstreams; upstreams without any are left out.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The list of upstreams that the positions refer to.
+    /// The number of the list of upstreams that the positions refer to.
     pub listed: Stamp,
     /// The loads.
     pub loads: Vec<UpstreamLoad>,
 }
 
-/// What is under way at one upstream.
+/// The load in flight at one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLoad {
     /// Its position in the list of upstreams.
     pub position: u32,
-    /// Requests at work.
+    /// The number of requests in flight.
     pub running: u32,
-    /// Prompt tokens of requests that have no first event yet.
+    /// The prompt tokens of requests whose first event has not arrived yet.
     pub tokens: u64,
 }
--- a/crates/registry/src/peers.rs
+++ b/crates/registry/src/peers.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections to other members. Messages may be lost; the log sends them again.
+//! Outgoing connections to other members. Messages may be lost; the replicated log resends them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,18 +12,19 @@
 
 use crate::message::PeerMessage;
 
-/// Messages that wait for a peer; more than these are dropped, for the log sends them again.
-const QUEUE: usize = 512;
+/// The maximum number of queued messages per peer; further ones are dropped, and the replicated log
+/// resends them.
+const MAX_QUEUED: usize = 512;
 
-/// The pause before a peer that can't be reached is dialled again.
-const REDIAL: Duration = Duration::from_millis(100);
+/// The pause before a new attempt to connect to an unreachable peer.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long a dial may take. Below the election timeout, so that a peer behind a cut is found
-/// again soon after it.
-const DIAL_TIMEOUT: Duration = Duration::from_millis(250);
+/// The timeout of an attempt to connect. It is shorter than the election timeout, so that a peer is
+/// reached again soon after a network partition.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// After how long without a message a connection's task ends.
-const IDLE: Duration = Duration::from_secs(10);
+/// The time without a message after which a connection is closed and its task ends.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The connections to other members.
 pub(crate) struct Peers {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Queues a message, or drops it where too many wait.
+    /// Queues a message, or drops it if the queue is full.
     pub(crate) fn send(&self, to: SocketAddr, message: PeerMessage) {
         let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
         let mut message = message;
@@ -70,17 +71,18 @@
                 Err(mpsc::error::TrySendError::Closed(it)) => message = it,
             }
         }
-        let (queue, messages) = mpsc::channel(QUEUE);
-        // A fresh queue has room.
+        let (queue, messages) = mpsc::channel(MAX_QUEUED);
+        // Can't fail: the queue is new and empty.
         let _ = queue.try_send(message);
         queues.insert(to, queue);
         let (secret, me) = (self.secret.clone(), self.me.clone());
-        self.runtime.spawn(pump(to, secret, me, messages));
+        self.runtime.spawn(forward(to, secret, me, messages));
     }
 }
 
-/// Carries one peer's messages until none came for a while.
-async fn pump(
+/// Sends one peer's queued messages, and reconnects as needed, until none arrives for
+/// [`IDLE_TIMEOUT`].
+async fn forward(
     to: SocketAddr,
     secret: Secret,
     me: Hello,
@@ -89,43 +91,44 @@
     let mut reached = true;
     let mut last = Instant::now();
     loop {
-        let dialled = timeout(DIAL_TIMEOUT, wire::connect(to, &secret, me.clone(), Kind::Member));
-        let connection = match dialled.await {
+        let connecting =
+            timeout(CONNECT_TIMEOUT, wire::connect(to, &secret, me.clone(), Kind::Member));
+        let connection = match connecting.await {
             Ok(Ok(connection)) => connection,
             Ok(Err(_)) | Err(_) => {
                 if reached {
-                    log::warn!(peer:% = to; "a member can't be reached");
+                    log::warn!(peer:% = to; "can't connect to a member; messages to it are dropped until it is reached again");
                 }
                 reached = false;
-                // What waited is old by now.
+                // The queued messages are out of date by now.
                 while messages.try_recv().is_ok() {
                     last = Instant::now();
                 }
-                if last.elapsed() > IDLE {
+                if last.elapsed() > IDLE_TIMEOUT {
                     return;
                 }
-                sleep(REDIAL).await;
+                sleep(RECONNECT_PAUSE).await;
                 continue;
             }
         };
         if !reached {
-            log::info!(peer:% = to; "a member is reached again");
+            log::info!(peer:% = to; "connected to a member again");
         }
         reached = true;
         let (sender, mut receiver) = connection.split::<PeerMessage, PeerMessage>();
         loop {
             tokio::select! {
-                message = timeout(IDLE, messages.recv()) => {
+                message = timeout(IDLE_TIMEOUT, messages.recv()) => {
                     let Ok(Some(message)) = message else { return };
                     last = Instant::now();
                     if sender.send(&message).await.is_err() {
                         break;
                     }
                 }
-                // The other side never writes here; this only notices its end.
+                // The peer never sends on this connection; this only detects that it is closed.
                 _ = receiver.recv() => break,
             }
         }
-        log::info!(peer:% = to; "the connection to a member ended");
+        log::info!(peer:% = to; "the connection to a member closed; connecting again");
     }
 }
--- a/crates/registry/src/plan.rs
+++ b/crates/registry/src/plan.rs
@@ -1,35 +1,34 @@
-//! The replicated state: the plan with the highest version that was ever committed.
+//! The replicated state: the plan with the highest committed version.
 
 use serde::{Deserialize, Serialize};
 use types::Version;
 
-/// A command of the log.
+/// A command in the replicated log, which replaces the plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Put {
+pub struct PutPlan {
     /// The version of the plan.
     pub version: Version,
-    /// Its text, as the operator sent it.
+    /// The text of the plan, as the operator sent it.
     pub text: Vec<u8>,
 }
 
-/// The plan that is held.
+/// The stored plan.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
-    /// Its version; zero where there is none.
+pub struct StoredPlan {
+    /// The version of the plan; zero if there is none.
     pub version: Version,
-    /// Its text.
+    /// The text of the plan.
     pub text: Vec<u8>,
 }
 
-impl Held {
-    /// Takes a committed command; returns whether it replaced the plan. A plan whose version is
-    /// not higher changes nothing, so that one that arrives again or late can't bring back what
-    /// was overtaken.
-    pub fn apply(&mut self, put: Put) -> bool {
+impl StoredPlan {
+    /// Applies a committed command; returns whether it replaced the plan. A version that is not higher
+    /// changes nothing, so that a repeated or late command can't restore an older plan.
+    pub fn apply(&mut self, put: PutPlan) -> bool {
         if put.version <= self.version {
             return false;
         }
-        *self = Held { version: put.version, text: put.text };
+        *self = StoredPlan { version: put.version, text: put.text };
         true
     }
 }
--- a/crates/registry/src/quarantine.rs
+++ b/crates/registry/src/quarantine.rs
@@ -1,121 +1,123 @@
-//! Requests that end the upstreams that run them, and are not sent any more.
+//! Holds back requests that terminate the upstreams that run them.
 //!
-//! Entries tell the leader which requests were under way at an upstream that ended; [`Quarantine`] decides
-//! which of them is the cause, and the leader tells all entries the list of those.
+//! Entries report to the leader which requests were in flight at an upstream when it terminated.
+//! [`Quarantine`] decides which of them is the cause, and the leader sends the list of held requests
+//! to all entries.
 
-mod known;
-mod recent;
+mod evidence;
 mod table;
+mod view;
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-pub use self::known::{Known, Standing};
-pub use self::recent::Recent;
+pub use self::evidence::EvidenceBuffer;
 pub use self::table::{Decision, Quarantine};
+pub use self::view::{Known, Standing};
 use crate::digest::RequestDigest;
 use crate::message::Stamp;
 
-/// The level of a leader that knows entries' clocks.
-const CLOCKS: u8 = 3;
+/// The protocol level from which a leader understands timestamps by the entry's clock.
+const ENTRY_CLOCK_LEVEL: u8 = 3;
 
-/// One run that was under way when its upstream ended.
+/// A request that was in flight when its upstream terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunSeen {
     /// The request.
     pub digest: RequestDigest,
-    /// How long before the end it was sent, in ms.
+    /// How long before the termination it was sent, in ms.
     pub age_ms: u32,
 }
 
-/// The end of an upstream, as one entry saw it.
+/// The termination of an upstream, as one entry observed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndSeen {
-    /// The id of the life that ended.
+    /// The id of the incarnation that terminated.
     pub upstream: String,
-    /// How long ago, in ms.
+    /// How long ago it terminated, in ms.
     pub ago_ms: u32,
-    /// What this entry had under way there.
+    /// The requests that this entry had in flight there.
     pub runs: Vec<RunSeen>,
-    /// When that was by the entry's own clock, where it tells. Not part of the message.
+    /// The time by the entry's own clock, if the entry reports it. Not part of the message.
     #[serde(skip)]
     pub clock: Option<EntryClock>,
 }
 
-/// A time by an entry's own clock: what one entry saw is in order, whatever delays its messages.
+/// A time by an entry's own clock. It orders the observations of one entry however late its messages
+/// arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryClock {
-    /// The entry's connection.
-    pub life: u64,
+    /// The entry's incarnation: the node id that it introduced itself with.
+    pub incarnation: u64,
     /// The time, in ms since the entry started.
     pub at_ms: u64,
 }
 
-/// What an entry tells the leader.
+/// What an entry reports to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Evidence {
-    /// An upstream ended.
+    /// An upstream terminated.
     Ended(EndSeen),
-    /// A request on the list has run to its end, and its upstream lives.
+    /// A listed request completed, and its upstream is still running.
     Completed(RequestDigest),
-    /// A request whose time on the list is over has come; the entry asks to send it once.
+    /// A request whose hold time is over arrived; the entry asks to send it once.
     Try(RequestDigest),
-    /// What a leader before had told: one that has just begun to lead knows nothing.
+    /// The requests that the previous leader held: a new leader starts without them.
     Known(Vec<Held>),
-    /// An upstream ended, so many ms after the entry started.
+    /// An upstream terminated, this many ms after the entry started.
     EndedAt(u64, EndSeen),
 }
 
 impl Evidence {
-    /// What a leader of this level can read.
+    /// Returns the evidence in a form that a leader of this level can decode.
     pub(crate) fn at_level(self, level: u8) -> Self {
         match self {
-            Self::EndedAt(_, seen) if level < CLOCKS => Self::Ended(seen),
+            Self::EndedAt(_, seen) if level < ENTRY_CLOCK_LEVEL => Self::Ended(seen),
             evidence => evidence,
         }
     }
 }
 
-/// The leave to send a request on the list once, to see whether it still ends upstreams.
+/// Permission to send a held request once, to find out whether it still terminates upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
-    /// The entry that may.
+    /// The entry that may send it.
     pub entry: SocketAddr,
-    /// Counts the trials of the request.
+    /// The number of the trial, counted per request.
     pub number: u32,
 }
 
-/// A request that is not sent.
+/// A request that entries don't send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// The request.
     pub digest: RequestDigest,
-    /// How many upstreams ended under it.
+    /// How many upstreams terminated while they ran it.
     pub ends: u32,
-    /// For how much longer it is not sent at all, in ms; then once, as a trial.
+    /// The remaining time for which it is not sent at all, in ms; after that it is sent once, as a trial.
     pub left_ms: u64,
-    /// How often a trial has ended an upstream.
+    /// How many trials terminated an upstream.
     pub relapses: u32,
-    /// The trial under way.
+    /// The trial in flight.
     pub trial: Option<Trial>,
 }
 
 impl Held {
-    /// For how much longer it is not sent at all, `since` after this was told.
+    /// Returns the remaining hold time, `since` after the list was received.
     pub fn left(&self, since: Duration) -> Duration {
         Duration::from_millis(self.left_ms).saturating_sub(since)
     }
 }
 
-/// What the leader tells all entries.
+/// The list that the leader sends to all entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineList {
-    /// Orders the lists.
+    /// The number of the list; newer lists have higher ones.
     pub stamp: Stamp,
-    /// Requests that are not sent.
+    /// Requests that entries don't send.
     pub held: Vec<Held>,
-    /// Requests that are suspected; the leader wants to hear if they run to their end.
+    /// Suspected requests: entries send them and report when one completes.
     pub watched: Vec<RequestDigest>,
 }
--- a/crates/registry/src/reader.rs
+++ b/crates/registry/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of upstreams on the leader.
+//! Reads the platform's list of upstreams while this member leads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,39 +10,39 @@
 use crate::hub::Hub;
 use crate::message::{Stamp, Upstream, UpstreamList};
 
-/// The time between two readings. The list itself lags by most of a second, and an upstream that
-/// leaves may get no new work some seconds later; twice a second uses a small part of both.
+/// The interval between two reads. The list itself lags by almost a second, and an upstream that is
+/// about to terminate must get no new work some seconds later; this interval is a small part of both.
 const PERIOD: Duration = Duration::from_millis(450);
 
-/// How long one reading may take.
+/// The timeout of one read.
 const TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What one reading of the list brought.
+/// The result of one read of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
     /// The upstreams.
     pub upstreams: Vec<Upstream>,
-    /// Why the entries that can't be read can't be; these name no upstream to use.
+    /// Why entries of the list could not be parsed; such entries are left out.
     pub unreadable: Vec<String>,
 }
 
-/// Where the list of upstreams comes from.
+/// A source of the list of upstreams.
 pub trait ListSource: Send + Sync + 'static {
     /// Reads the whole list.
     ///
     /// # Errors
-    /// Where a page can't be had.
+    /// Fails if a page of the list can't be read.
     fn read(&self) -> impl Future<Output = StepResult<Listing>> + Send;
 }
 
-/// Reads the list for as long as the member leads, and hands it out when it changed.
+/// Reads the list periodically while the member leads, and publishes it when it changes.
 pub(crate) async fn run<L: ListSource>(
     source: L,
     hub: Arc<Hub>,
     view: tokio::sync::watch::Receiver<View>,
 ) {
     let mut last = UpstreamList::default();
-    let mut lost = false;
+    let mut failing = false;
     let mut unreadable = Vec::new();
     let mut ticks = interval(PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -56,11 +56,11 @@
         let listing = match read {
             Ok(Ok(it)) => it,
             Ok(Err(error)) => {
-                report(&mut lost, &error.to_string());
+                log_failure(&mut failing, &error.to_string());
                 continue;
             }
             Err(_) => {
-                report(&mut lost, "no answer in time");
+                log_failure(&mut failing, "no answer in time");
                 continue;
             }
         };
@@ -68,11 +68,11 @@
         if unreadable != listing.unreadable {
             unreadable = listing.unreadable;
             log::warn!(entries = unreadable.len(), cause = unreadable.first().map(String::as_str);
-                "entries of the list of upstreams that can't be read name none to use");
+                "some entries of the list of upstreams can't be parsed; they are left out");
         }
-        if lost {
-            log::info!(upstreams = upstreams.len(); "the list of upstreams is readable again");
-            lost = false;
+        if failing {
+            log::info!(upstreams = upstreams.len(); "the list of upstreams can be read again");
+            failing = false;
         }
         if last.stamp.term == term && last.upstreams == upstreams {
             continue;
@@ -85,9 +85,10 @@
     }
 }
 
-fn report(lost: &mut bool, why: &str) {
-    if !*lost {
+/// Logs the first of a series of failures to read the list.
+fn log_failure(failing: &mut bool, why: &str) {
+    if !*failing {
         log::warn!(cause = why; "the list of upstreams can't be read; the last one stays in use");
     }
-    *lost = true;
+    *failing = true;
 }
--- a/crates/registry/tests/cluster.rs
+++ b/crates/registry/tests/cluster.rs
@@ -114,7 +114,7 @@
     let vouched = async {
         loop {
             let message = receiver.recv().await.expect("a message").expect("an open connection");
-            if let ToEntry::Held { version, current: true } = message {
+            if let ToEntry::PlanVersion { version, current: true } = message {
                 return version;
             }
         }
@@ -130,7 +130,7 @@
     let member = env.member(0, true).await;
     put(&[&member], "4 whole").await;
     let (sender, mut receiver) = env.connect(env.addresses[0]).await;
-    sender.send(&ToMember::Fetch(Version(4))).await.expect("asked");
+    sender.send(&ToMember::FetchPlan(Version(4))).await.expect("asked");
     let plan = plan_of(&mut receiver);
     let (version, text) = timeout(PATIENCE, plan).await.expect("in time");
     assert_eq!((version, text.as_slice()), (Version(4), b"4 whole".as_slice()));
@@ -150,7 +150,7 @@
     let (sender, mut receiver) = env.connect(env.addresses[0]).await;
     for number in 1..=ASKED {
         let version = put(&[&member], &format!("{number} plan")).await;
-        sender.send(&ToMember::Fetch(version)).await.expect("asked");
+        sender.send(&ToMember::FetchPlan(version)).await.expect("asked");
         let plan = plan_of(&mut receiver);
         let (sent, _) = timeout(PATIENCE, plan).await.expect("version is sent in time");
         assert_eq!(sent, version);
--- a/crates/registry/tests/crowd.rs
+++ b/crates/registry/tests/crowd.rs
@@ -6,7 +6,7 @@
 
 use env::{Env, PATIENCE, put};
 use registry::EntrySeen;
-use registry::difference::Numbered;
+use registry::difference::NumberedList;
 use registry::message::{ToEntry, ToMember};
 use tokio::task::JoinSet;
 use tokio::time::timeout;
@@ -44,10 +44,10 @@
 
 /// Reads until all entries are told, and returns how many bytes it took.
 async fn read_all(receiver: &mut Receiver<ToEntry>) -> u64 {
-    let mut known = Numbered::<EntrySeen>::default();
+    let mut known = NumberedList::<EntrySeen>::default();
     while known.list.len() < ENTRIES {
         match receiver.recv().await.expect("a message").expect("a member") {
-            ToEntry::Entries(stamp, list) => known = Numbered::new(stamp, list),
+            ToEntry::Entries(stamp, list) => known = NumberedList::new(stamp, list),
             ToEntry::EntriesChanged(difference) => {
                 known = known.apply(difference).expect("a difference to the list before");
             }
--- a/crates/registry/tests/current.rs
+++ b/crates/registry/tests/current.rs
@@ -11,8 +11,8 @@
 
 const USUAL: CurrentView = CurrentView {
     term: Term(5),
-    led: true,
-    member: true,
+    has_leader: true,
+    is_member: true,
     commit: LogIndex(38),
     commit_term: Some(Term(5)),
     applied: LogIndex(38),
@@ -35,8 +35,8 @@
         view: CurrentView { applied: LogIndex(37), ..USUAL },
         current: false,
     },
-    Case { name: "no leader", view: CurrentView { led: false, ..USUAL }, current: false },
-    Case { name: "not a member", view: CurrentView { member: false, ..USUAL }, current: false },
+    Case { name: "no leader", view: CurrentView { has_leader: false, ..USUAL }, current: false },
+    Case { name: "not a member", view: CurrentView { is_member: false, ..USUAL }, current: false },
     Case {
         name: "a log that tells nothing",
         view: CurrentView { commit_term: None, ..USUAL },
--- a/crates/registry/tests/difference.rs
+++ b/crates/registry/tests/difference.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use registry::difference::Numbered;
+use registry::difference::NumberedList;
 use registry::{EntrySeen, Stamp};
 
 fn entries(numbers: &[u16]) -> Vec<EntrySeen> {
@@ -14,8 +14,8 @@
     numbers.iter().map(entry).collect()
 }
 
-fn numbered(count: u64, numbers: &[u16]) -> Numbered<EntrySeen> {
-    Numbered::new(Stamp { term: 1, count }, entries(numbers))
+fn numbered(count: u64, numbers: &[u16]) -> NumberedList<EntrySeen> {
+    NumberedList::new(Stamp { term: 1, count }, entries(numbers))
 }
 
 struct Case {
@@ -39,8 +39,8 @@
     for case in CASES {
         let (before, after) = (numbered(1, case.before), numbered(2, case.after));
         let difference = before.difference(&after);
-        assert_eq!(difference.gone.len(), case.gone, "{}", case.name);
-        assert_eq!(difference.come.len(), case.come, "{}", case.name);
+        assert_eq!(difference.removed.len(), case.gone, "{}", case.name);
+        assert_eq!(difference.updated.len(), case.come, "{}", case.name);
         assert_eq!(before.apply(difference).as_ref(), Some(&after), "{}", case.name);
     }
 }
@@ -50,9 +50,9 @@
     let before = numbered(1, &[1, 2]);
     let mut list = entries(&[1, 2]);
     list[1].name = "other".to_owned();
-    let after = Numbered::new(Stamp { term: 1, count: 2 }, list);
+    let after = NumberedList::new(Stamp { term: 1, count: 2 }, list);
     let difference = before.difference(&after);
-    assert_eq!((difference.gone.len(), difference.come.len()), (0, 1));
+    assert_eq!((difference.removed.len(), difference.updated.len()), (0, 1));
     assert_eq!(before.apply(difference), Some(after));
 }
 
--- a/crates/registry/tests/parcel.rs
+++ b/crates/registry/tests/package.rs
@@ -1,24 +1,25 @@
 //! Parcels give the plan that was packed, or an error.
 
 use proptest::prelude::*;
-use registry::parcel::{Inbound, PART, Parcel};
-use registry::plan::Held;
+use registry::package::{MAX_PART_BYTES, Package, PartialPackage};
+use registry::plan::StoredPlan;
 use types::Version;
 
-fn held(version: u64, text: &[u8]) -> Held {
-    Held { version: Version(version), text: text.to_vec() }
+fn held(version: u64, text: &[u8]) -> StoredPlan {
+    StoredPlan { version: Version(version), text: text.to_vec() }
 }
 
 /// Takes a parcel apart and together again.
-fn sent(parcel: &Parcel) -> Inbound {
-    let mut inbound = Inbound::begin(parcel.part(0).expect("a first part")).expect("the first");
-    while !inbound.is_whole() {
-        let part = parcel.part(inbound.next()).expect("a part");
-        assert!(part.bytes.len() <= PART);
+fn sent(parcel: &Package) -> PartialPackage {
+    let mut inbound =
+        PartialPackage::begin(parcel.part(0).expect("a first part")).expect("the first");
+    while !inbound.is_complete() {
+        let part = parcel.part(inbound.next_offset()).expect("a part");
+        assert!(part.bytes.len() <= MAX_PART_BYTES);
         assert!(inbound.add(&part));
         assert!(!inbound.add(&part), "a part is taken once");
     }
-    assert!(parcel.part(inbound.next()).is_none());
+    assert!(parcel.part(inbound.next_offset()).is_none());
     inbound
 }
 
@@ -54,8 +55,8 @@
     ];
     for Case { name, base, text, most } in cases {
         let before = base.map(|it| held(1, &it));
-        let parcel = Parcel::pack(&held(2, &text), before.as_ref());
-        assert!(parcel.label().size as usize <= most, "{name}: {} bytes", parcel.label().size);
+        let parcel = Package::pack(&held(2, &text), before.as_ref());
+        assert!(parcel.id().size as usize <= most, "{name}: {} bytes", parcel.id().size);
         let base = before.map(|it| it.text).unwrap_or_default();
         assert_eq!(sent(&parcel).unpack(&base).expect(name), text, "{name}");
     }
@@ -66,7 +67,7 @@
 fn a_difference_from_another_plan_gives_nothing() {
     let text = noise(1, 100_000);
     let plan = held(2, &[&text[..], b"more"].concat());
-    let parcel = Parcel::pack(&plan, Some(&held(1, &text)));
+    let parcel = Package::pack(&plan, Some(&held(1, &text)));
     let inbound = sent(&parcel);
     for other in [Vec::new(), noise(3, 100_000), text[1..].to_vec()] {
         assert!(inbound.unpack(&other).is_err(), "{} bytes", other.len());
@@ -77,15 +78,15 @@
     #[test]
     fn any_two_plans(before in "[ab]{0,3000}", after in "[ab]{0,3000}") {
         let (before, after) = (held(1, before.as_bytes()), held(2, after.as_bytes()));
-        let inbound = sent(&Parcel::pack(&after, Some(&before)));
+        let inbound = sent(&Package::pack(&after, Some(&before)));
         prop_assert_eq!(inbound.unpack(&before.text).expect("a plan"), after.text);
     }
 
     #[test]
     fn any_bytes_give_a_plan_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let mut part = Parcel::pack(&held(2, b"plan"), None).part(0).expect("a part");
+        let mut part = Package::pack(&held(2, b"plan"), None).part(0).expect("a part");
         part.bytes = bytes;
-        let inbound = Inbound::begin(part).expect("the first");
+        let inbound = PartialPackage::begin(part).expect("the first");
         // Random bytes have the right checksum only where they are the plan.
         if let Ok(text) = inbound.unpack(b"") {
             prop_assert_eq!(text, b"plan".to_vec());
--- a/crates/registry/tests/plan.rs
+++ b/crates/registry/tests/plan.rs
@@ -1,6 +1,6 @@
 //! The plan that is held: the highest version wins.
 
-use registry::plan::{Held, Put};
+use registry::plan::{PutPlan, StoredPlan};
 use types::Version;
 
 struct Case {
@@ -20,9 +20,9 @@
 #[test]
 fn the_highest_version_wins() {
     for case in CASES {
-        let mut held = Held::default();
+        let mut held = StoredPlan::default();
         for (version, text) in case.puts {
-            held.apply(Put { version: Version(*version), text: text.as_bytes().to_vec() });
+            held.apply(PutPlan { version: Version(*version), text: text.as_bytes().to_vec() });
         }
         let (version, text) = case.held;
         assert_eq!(held.version, Version(version), "{}", case.name);
--- a/crates/registry/tests/quarantine.rs
+++ b/crates/registry/tests/quarantine.rs
@@ -204,18 +204,18 @@
         let start = Instant::now();
         for (ms, step) in &case.steps {
             let now = start + Duration::from_millis(*ms);
-            quarantine.settle(now);
+            quarantine.decide_due(now);
             match step {
-                Step::End(upstream, runs) => quarantine.take_end(&end(*upstream, runs), now),
+                Step::End(upstream, runs) => quarantine.record_end(&end(*upstream, runs), now),
                 Step::EndAt((life, at_ms), upstream, runs) => {
-                    let clock = Some(EntryClock { life: *life, at_ms: *at_ms });
-                    quarantine.take_end(&EndSeen { clock, ..end(*upstream, runs) }, now)
+                    let clock = Some(EntryClock { incarnation: *life, at_ms: *at_ms });
+                    quarantine.record_end(&EndSeen { clock, ..end(*upstream, runs) }, now)
                 }
-                Step::Completed(it) => quarantine.completed(digest(*it)),
+                Step::Completed(it) => quarantine.record_completion(digest(*it)),
             };
         }
         let (last, _) = case.steps.last().expect("a step");
-        quarantine.settle(start + Duration::from_millis(last + GATHER));
+        quarantine.decide_due(start + Duration::from_millis(last + GATHER));
         let held = quarantine.list(Stamp::default(), start).held;
         let mut held: Vec<RequestDigest> = held.iter().map(|it| it.digest).collect();
         let mut wanted: Vec<RequestDigest> = case.held.iter().map(|it| digest(*it)).collect();
@@ -231,8 +231,8 @@
     let start = Instant::now();
     for turn in 0..3 {
         let now = start + Duration::from_secs(turn);
-        quarantine.take_end(&end(turn as u32, &[(BAD, 50)]), now);
-        quarantine.settle(now + Duration::from_millis(GATHER));
+        quarantine.record_end(&end(turn as u32, &[(BAD, 50)]), now);
+        quarantine.decide_due(now + Duration::from_millis(GATHER));
     }
     (quarantine, start + Duration::from_millis(2_000 + GATHER))
 }
@@ -243,17 +243,27 @@
     let (mut quarantine, start) = holding();
     let due = start + TERM;
     let bad = digest(BAD);
-    assert_eq!(quarantine.ask(bad, entry(1), due - Duration::from_secs(1)), []);
-    assert_eq!(quarantine.ask(bad, entry(1), due), [Decision::Tried(bad, entry(1))]);
-    assert_eq!(quarantine.ask(bad, entry(2), due), [], "two trials at once");
-    let ended = quarantine.take_end(&end(9, &[(BAD, 50), (5, 50)]), due);
-    assert_eq!(ended, [Decision::Relapsed(bad, 4)]);
-    assert_eq!(quarantine.ask(bad, entry(1), due + TERM), [], "held for twice as long");
+    assert_eq!(quarantine.request_trial(bad, entry(1), due - Duration::from_secs(1)), []);
+    assert_eq!(
+        quarantine.request_trial(bad, entry(1), due),
+        [Decision::TrialGranted(bad, entry(1))]
+    );
+    assert_eq!(quarantine.request_trial(bad, entry(2), due), [], "two trials at once");
+    let ended = quarantine.record_end(&end(9, &[(BAD, 50), (5, 50)]), due);
+    assert_eq!(ended, [Decision::TrialFailed(bad, 4)]);
+    assert_eq!(quarantine.request_trial(bad, entry(1), due + TERM), [], "held for twice as long");
     let again = due + TERM * 2;
-    assert_eq!(quarantine.ask(bad, entry(2), again), [Decision::Tried(bad, entry(2))]);
+    assert_eq!(
+        quarantine.request_trial(bad, entry(2), again),
+        [Decision::TrialGranted(bad, entry(2))]
+    );
     let later = again + Duration::from_secs(31);
-    assert_eq!(quarantine.ask(bad, entry(3), later), [Decision::Tried(bad, entry(3))], "lost");
-    assert_eq!(quarantine.completed(bad), [Decision::Released(bad)]);
+    assert_eq!(
+        quarantine.request_trial(bad, entry(3), later),
+        [Decision::TrialGranted(bad, entry(3))],
+        "lost"
+    );
+    assert_eq!(quarantine.record_completion(bad), [Decision::Released(bad)]);
     assert!(quarantine.list(Stamp::default(), later).held.is_empty());
 }
 
@@ -263,24 +273,24 @@
     let (quarantine, start) = holding();
     let stamp = |term, count| Stamp { term, count };
     let mut known = Known::default();
-    assert!(known.take(&quarantine.list(stamp(1, 1), start), start));
+    assert!(known.update(&quarantine.list(stamp(1, 1), start), start));
     assert_eq!(known.standing(&digest(BAD), start), Standing::Held(TERM));
 
     let mut next = Quarantine::default();
     let later = start + Duration::from_secs(60);
-    assert!(known.take(&next.list(stamp(2, 1), later), later));
+    assert!(known.update(&next.list(stamp(2, 1), later), later));
     assert_eq!(known.standing(&digest(BAD), later), Standing::Held(TERM - Duration::from_secs(60)));
     let told: Vec<Held> = known.held(later);
-    assert!(next.take_known(&told, later), "news to the next leader");
-    assert!(!next.take_known(&told, later), "told by a second entry");
+    assert!(next.merge_known(&told, later), "news to the next leader");
+    assert!(!next.merge_known(&told, later), "told by a second entry");
 
     let after = later + Duration::from_secs(3);
-    assert!(known.take(&next.list(stamp(2, 2), after), after));
-    assert!(!known.take(&quarantine.list(stamp(1, 9), after), after), "an older leader's");
+    assert!(known.update(&next.list(stamp(2, 2), after), after));
+    assert!(!known.update(&quarantine.list(stamp(1, 9), after), after), "an older leader's");
     let left = TERM - Duration::from_secs(63);
     assert_eq!(known.standing(&digest(BAD), after), Standing::Held(left));
-    next.completed(digest(BAD));
-    assert!(known.take(&next.list(stamp(2, 3), after), after));
+    next.record_completion(digest(BAD));
+    assert!(known.update(&next.list(stamp(2, 3), after), after));
     assert_eq!(known.standing(&digest(BAD), after), Standing::Free);
 }
 
@@ -296,8 +306,8 @@
             .chain((0..60).map(|it| 10_000 + number * 60 + it))
             .map(|it| (it, 10))
             .collect();
-        quarantine.take_end(&end(number, &runs), now);
-        quarantine.settle(now);
+        quarantine.record_end(&end(number, &runs), now);
+        quarantine.decide_due(now);
     }
     let list = quarantine.list(Stamp::default(), start);
     assert!(list.held.len() <= 64, "{} held", list.held.len());
--- a/crates/registry/tests/quarantine_fleet.rs
+++ b/crates/registry/tests/quarantine_fleet.rs
@@ -291,9 +291,9 @@
             Event::Runs { run, upstream } => self.runs(run, upstream),
             Event::Settle => {
                 let now = self.instant();
-                let decisions = self.leader.settle(now);
+                let decisions = self.leader.decide_due(now);
                 self.publish(&decisions);
-                if !self.leader.is_settled() {
+                if !self.leader.is_decided() {
                     self.at(SETTLE, Event::Settle);
                 }
             }
@@ -309,7 +309,7 @@
             Event::ToLeader(entry, evidence) => self.lead(entry, evidence),
             Event::ToEntry(entry, list) => {
                 let now = self.instant();
-                self.known[entry].take(&list, now);
+                self.known[entry].update(&list, now);
             }
         }
     }
@@ -408,14 +408,14 @@
         let address = SocketAddr::from(([10, 0, 0, 1], entry as u16));
         let decisions = match evidence {
             Evidence::EndedAt(at_ms, mut seen) => {
-                if self.leader.is_settled() {
+                if self.leader.is_decided() {
                     self.at(SETTLE, Event::Settle);
                 }
-                seen.clock = Some(EntryClock { life: entry as u64, at_ms });
-                self.leader.take_end(&seen, now)
+                seen.clock = Some(EntryClock { incarnation: entry as u64, at_ms });
+                self.leader.record_end(&seen, now)
             }
-            Evidence::Completed(digest) => self.leader.completed(digest),
-            Evidence::Try(digest) => self.leader.ask(digest, address, now),
+            Evidence::Completed(digest) => self.leader.record_completion(digest),
+            Evidence::Try(digest) => self.leader.request_trial(digest, address, now),
             Evidence::Known(_) | Evidence::Ended(_) => Vec::new(),
         };
         self.publish(&decisions);
--- a/crates/registry/tests/quarantine_recent.rs
+++ b/crates/registry/tests/quarantine_recent.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use registry::RequestDigest;
-use registry::quarantine::{EndSeen, Evidence, Quarantine, Recent, RunSeen};
+use registry::quarantine::{EndSeen, Evidence, EvidenceBuffer, Quarantine, RunSeen};
 
 fn digest() -> RequestDigest {
     RequestDigest::of(&[b"one"])
@@ -58,13 +58,13 @@
     ];
     for Case { name, seen, untold, all } in cases {
         let start = Instant::now();
-        let mut recent = Recent::default();
+        let mut recent = EvidenceBuffer::default();
         for (at, evidence, told) in seen {
             recent.add(evidence, told, start + Duration::from_millis(at));
         }
         let now = start + Duration::from_secs(1);
-        assert_eq!(names(&recent.untold(now)), untold, "{name}");
-        assert!(recent.untold(now).is_empty(), "{name}: told twice");
+        assert_eq!(names(&recent.unsent(now)), untold, "{name}");
+        assert!(recent.unsent(now).is_empty(), "{name}: told twice");
         assert_eq!(names(&recent.all(now)), all, "{name}");
         assert!(recent.all(now + Duration::from_secs(10)).is_empty(), "{name}: kept for ever");
     }
@@ -74,7 +74,7 @@
 #[test]
 fn recent_evidence_is_bounded() {
     let now = Instant::now();
-    let mut recent = Recent::default();
+    let mut recent = EvidenceBuffer::default();
     (0..1_000).for_each(|it| recent.add(ended(it), false, now));
     let kept = names(&recent.all(now));
     assert_eq!((kept.len(), kept.last().map(String::as_str)), (64, Some("u-999 20")));
@@ -86,19 +86,19 @@
     for kept in [false, true] {
         let start = Instant::now();
         let at = |ms: u64| start + Duration::from_millis(ms);
-        let mut recent = Recent::default();
+        let mut recent = EvidenceBuffer::default();
         recent.add(ended(1), false, at(0));
         let mut leader = Quarantine::default();
         let mut held = Vec::new();
         let told = if kept { recent.all(at(1_500)) } else { Vec::new() };
         for evidence in told {
             let Evidence::Ended(seen) = evidence else { panic!("no end") };
-            held.extend(leader.take_end(&seen, at(1_500)));
+            held.extend(leader.record_end(&seen, at(1_500)));
         }
         for (upstream, ms) in [(2, 2_000), (3, 4_000)] {
             let Evidence::Ended(seen) = ended(upstream) else { panic!("no end") };
-            held.extend(leader.take_end(&seen, at(ms)));
-            held.extend(leader.settle(at(ms + 400)));
+            held.extend(leader.record_end(&seen, at(ms)));
+            held.extend(leader.decide_due(at(ms + 400)));
         }
         assert_eq!(held.len(), usize::from(kept), "kept: {kept}");
     }
--- a/crates/registry/tests/repair.rs
+++ b/crates/registry/tests/repair.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use consensus::Membership;
-use registry::{DEAD_AFTER, PeerView, RepairView, next_membership};
+use registry::{PeerView, RepairView, VOTER_TIMEOUT, next_membership};
 use types::NodeId;
 
 /// A node: its id, its port, and how it looks to the leader, node 1.
@@ -108,7 +108,7 @@
         let membership = Membership { voters: group(case.voters), learners: group(case.learners) };
         let others = case.voters.iter().chain(case.learners).filter(|it| it.0 != 1);
         let peers = others.map(|it| {
-            let silent = if it.2 == Silent { DEAD_AFTER } else { Duration::ZERO };
+            let silent = if it.2 == Silent { VOTER_TIMEOUT } else { Duration::ZERO };
             (NodeId(it.0), PeerView { silent, caught_up: it.2 == Well })
         });
         let peers = peers.collect();
@@ -118,7 +118,7 @@
             membership: &membership,
             peers: &peers,
             joins: &joins,
-            voters: case.wanted,
+            target_voters: case.wanted,
         };
         let next = next_membership(&view).map(|it| (ids(&it.voters), ids(&it.learners)));
         let wanted = case.next.map(|it| (it.0.to_vec(), it.1.to_vec()));
