--- a/crates/registry/tests/cluster.rs
+++ b/crates/registry/tests/cluster.rs
@@ -1,10 +1,10 @@
-//! Members that form a cluster by themselves and outlast the loss of some.
+//! Members form a cluster by themselves, acknowledge plans safely, and send them to entries.
 
 mod env;
 
 use std::net::SocketAddr;
 
-use env::{Env, PATIENCE, put, read};
+use env::{Env, TIMEOUT, put, read};
 use futures_util::future::join_all;
 use registry::message::{ToEntry, ToMember};
 use registry::{EntrySeen, PutOutcome, Relay, Stamp, UpstreamList};
@@ -12,10 +12,8 @@
 use types::Version;
 use wire::Receiver;
 
-/// Symptom: no configuration was ever acknowledged.
-/// Sequence: one member begins a cluster; the others ask to take part and are sent the log.
-/// Cause: a member that knows no membership could not answer the leader, whose address it had only
-/// from the membership.
+/// Guards against a cluster that never acknowledges a plan: a member that joins does not know the
+/// membership yet, and so could not answer the leader if it had the leader's address only from there.
 #[tokio::test(flavor = "multi_thread")]
 async fn members_form_a_cluster_from_seeds_alone() {
     let env = Env::new(5, 2);
@@ -28,9 +26,8 @@
     assert_eq!(read(&all).await, "7 first");
 }
 
-/// Symptom: an order is acknowledged and gone after two disks are lost.
-/// Sequence: a member begins a cluster alone and is sent an order before others have joined.
-/// Cause: a quorum of one holds it.
+/// Guards against an order that is acknowledged and then lost with the disks of its holders: a member
+/// starts a cluster alone, and a quorum of one acknowledges the order before others have joined.
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_is_acknowledged_that_too_few_members_hold() {
     let env = Env::new(3, 1);
@@ -43,9 +40,8 @@
     assert_eq!(put(&[&alone, &second, &third], "1 early").await, Version(1));
 }
 
-/// Symptom: an invalid configuration is acknowledged, since its version is not the newest.
-/// Sequence: a valid plan is held; an unreadable one with a lower version comes.
-/// Cause: versions compared before the text is checked.
+/// Guards against an invalid plan that is acknowledged because its version is lower than the stored
+/// one, if versions are compared before the text is checked.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_invalid_plan_is_refused_at_any_version() {
     let env = Env::new(1, 0);
@@ -57,9 +53,8 @@
     assert_eq!(read(&[&member]).await, "5 good");
 }
 
-/// Symptom: an entry that restarts serves what was overtaken, or nothing.
-/// Sequence: plans are committed; an entry starts afterwards.
-/// Cause: it takes the first plan it hears of.
+/// Guards against an entry that starts after several plans were committed and serves an old one, the
+/// first that it is told of, or none.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_gets_the_newest_plan_and_the_upstreams() {
     let env = Env::new(3, 1);
@@ -82,15 +77,14 @@
     assert!(newer.await.is_ok());
 }
 
-/// How many versions are acknowledged, each asked for at every member.
-const VOUCHED: u64 = 100;
+/// The number of versions that are acknowledged and then checked at every member.
+const CHECKED_VERSIONS: u64 = 100;
 
-/// Symptom: an entry that starts after version 2 was acknowledged serves version 1 first.
-/// Sequence: the leader acknowledges version 2; a member that applies it some ms later tells an entry
-/// that has just connected that it holds version 1 and is up to date.
-/// Cause: the member knows of no later commit and takes that for all there is; nobody asks a quorum.
+/// Guards against an entry that starts after version 2 was acknowledged and serves version 1 first. A
+/// member that applies version 2 some ms after the leader does not know of the later commit, and would
+/// report version 1 as the newest if it asked no quorum.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_member_vouches_for_nothing_older_than_what_was_acknowledged() {
+async fn no_member_reports_a_plan_as_current_that_is_older_than_the_acknowledged_one() {
     let env = Env::new(3, 1);
     let mut members = Vec::new();
     for number in 0..3 {
@@ -98,20 +92,20 @@
     }
     let all: Vec<_> = members.iter().collect();
     let env = &env;
-    for number in 1..=VOUCHED {
+    for number in 1..=CHECKED_VERSIONS {
         let acknowledged = put(&all, &format!("{number} plan")).await;
-        // All at once: the members that apply it last do so within some ms.
-        let told = env.addresses.iter().map(|it| vouched(env, *it));
+        // Concurrently, since the last members apply it within some ms.
+        let told = env.addresses.iter().map(|it| current_version(env, *it));
         for (address, version) in env.addresses.iter().zip(join_all(told).await) {
-            assert!(version >= acknowledged, "{address} vouched for {version}");
+            assert!(version >= acknowledged, "{address} reported {version} as current");
         }
     }
 }
 
-/// Returns the first version that a member vouches for to an entry that has just connected.
-async fn vouched(env: &Env, address: SocketAddr) -> Version {
+/// Returns the first version that a member reports as current to an entry that has just connected.
+async fn current_version(env: &Env, address: SocketAddr) -> Version {
     let (_sender, mut receiver) = env.connect(address).await;
-    let vouched = async {
+    let current_version = async {
         loop {
             let message = receiver.recv().await.expect("a message").expect("an open connection");
             if let ToEntry::PlanVersion { version, current: true } = message {
@@ -119,46 +113,45 @@
             }
         }
     };
-    timeout(PATIENCE, vouched).await.expect("in time")
+    timeout(TIMEOUT, current_version).await.expect("in time")
 }
 
-/// During a rolling upgrade members are new before entries are. An entry of the release before asks for a
-/// plan in one piece, and has none in force if nobody answers it.
+/// Guards against entries of the previous release that get no plan during a rolling upgrade, which
+/// starts with the members: such entries request a plan in one message.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_of_the_release_before_gets_its_plan_in_one_piece() {
+async fn an_entry_of_the_previous_release_gets_its_plan_in_one_message() {
     let env = Env::new(1, 0);
     let member = env.member(0, true).await;
     put(&[&member], "4 whole").await;
     let (sender, mut receiver) = env.connect(env.addresses[0]).await;
     sender.send(&ToMember::FetchPlan(Version(4))).await.expect("asked");
-    let plan = plan_of(&mut receiver);
-    let (version, text) = timeout(PATIENCE, plan).await.expect("in time");
+    let plan = receive_plan(&mut receiver);
+    let (version, text) = timeout(TIMEOUT, plan).await.expect("in time");
     assert_eq!((version, text.as_slice()), (Version(4), b"4 whole".as_slice()));
 }
 
-/// How many versions are asked for, each as soon as it is acknowledged.
-const ASKED: u64 = 400;
+/// The number of versions that are requested, each as soon as it is acknowledged.
+const REQUESTED_VERSIONS: u64 = 400;
 
-/// Symptom: an entry asks a member for a version that was acknowledged, and no answer ever comes.
-/// Sequence: the only member acknowledges version 4; an entry that was told of it asks for it at once.
-/// Cause: the member answers operators before it shows the plan to its connections, and a question for a
-/// plan that is not shown yet is dropped.
+/// Guards against a request for an acknowledged version that is never answered: a request for a plan
+/// that is not yet in the member's view is dropped, so the view must be updated before the plan is
+/// acknowledged.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_acknowledged_is_sent_to_whoever_asks_at_once() {
+async fn an_acknowledged_plan_is_sent_to_an_entry_that_requests_it_at_once() {
     let env = Env::new(1, 0);
     let member = env.member(0, true).await;
     let (sender, mut receiver) = env.connect(env.addresses[0]).await;
-    for number in 1..=ASKED {
+    for number in 1..=REQUESTED_VERSIONS {
         let version = put(&[&member], &format!("{number} plan")).await;
         sender.send(&ToMember::FetchPlan(version)).await.expect("asked");
-        let plan = plan_of(&mut receiver);
-        let (sent, _) = timeout(PATIENCE, plan).await.expect("version is sent in time");
+        let plan = receive_plan(&mut receiver);
+        let (sent, _) = timeout(TIMEOUT, plan).await.expect("version is sent in time");
         assert_eq!(sent, version);
     }
 }
 
-/// Returns the next plan that a member sends in one piece.
-async fn plan_of(receiver: &mut Receiver<ToEntry>) -> (Version, Vec<u8>) {
+/// Returns the next plan that a member sends in one message.
+async fn receive_plan(receiver: &mut Receiver<ToEntry>) -> (Version, Vec<u8>) {
     loop {
         let message = receiver.recv().await.expect("a message").expect("an open connection");
         if let ToEntry::Plan { version, text } = message {
@@ -176,19 +169,23 @@
 }
 
 const RELAYS: &[RelayCase] = &[
-    RelayCase { name: "the first", count: 2, entries: &["a", "b"], known: &["a", "b"] },
-    RelayCase { name: "an older one", count: 1, entries: &["c"], known: &["a", "b"] },
-    RelayCase { name: "the same again", count: 2, entries: &["c"], known: &["a", "b"] },
-    RelayCase { name: "a newer one", count: 3, entries: &["b"], known: &["b"] },
+    RelayCase { name: "the first list", count: 2, entries: &["a", "b"], known: &["a", "b"] },
+    RelayCase { name: "an older list", count: 1, entries: &["c"], known: &["a", "b"] },
+    RelayCase {
+        name: "another list with the same number",
+        count: 2,
+        entries: &["c"],
+        known: &["a", "b"],
+    },
+    RelayCase { name: "a newer list", count: 3, entries: &["b"], known: &["b"] },
 ];
 
-/// Symptom: calls to the same upstreams from two owners, pieces whose inputs are gone.
-/// Sequence: an entry is cut off from all members; the others count it as gone and choose another
-/// owner, the entry goes on with the list that it had.
-/// Cause: nobody tells it, although other entries can. What they tell is taken where it is newer,
-/// and only then.
+/// Guards against two owners that call the same upstreams, and pieces whose inputs are gone. An entry
+/// that is partitioned from all members keeps its old list while the other entries, which count it as
+/// gone, choose another owner. Other entries can still send it their lists; it must accept them if, and
+/// only if, they are newer.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_without_members_takes_news_of_others() {
+async fn an_entry_without_members_accepts_newer_lists_from_other_entries() {
     let env = Env::new(1, 0);
     let follower = env.follower();
     let mut news = follower.news();
@@ -200,12 +197,12 @@
         };
         let entries = case.entries.iter().map(entry).collect();
         let seated = Stamp { term: 1, count: case.count };
-        // The numbers of the lists of upstreams show when the relay was taken.
+        // The number of the list of upstreams tells when the relay was handled.
         let stamp = Stamp { term: 1, count: news.borrow().listed.count + 1 };
         let upstreams = UpstreamList { stamp, upstreams: Vec::new() };
         let relay = Relay { seated, entries, upstreams };
         follower.relays().send(relay).await.expect("the follower runs");
-        let taken = timeout(PATIENCE, news.wait_for(|it| it.listed == stamp)).await;
+        let taken = timeout(TIMEOUT, news.wait_for(|it| it.listed == stamp)).await;
         let news = taken.expect("in time").expect("the follower runs").clone();
         let known: Vec<&str> = news.entries.iter().map(|it| it.name.as_str()).collect();
         assert_eq!(known, case.known, "{}", case.name);
--- a/crates/registry/tests/crowd.rs
+++ b/crates/registry/tests/crowd.rs
@@ -1,10 +1,10 @@
-//! Many entries that come at once.
+//! Many entries that connect at the same time.
 
 mod env;
 
 use std::net::SocketAddr;
 
-use env::{Env, PATIENCE, put};
+use env::{Env, TIMEOUT, put};
 use registry::EntrySeen;
 use registry::difference::NumberedList;
 use registry::message::{ToEntry, ToMember};
@@ -12,15 +12,15 @@
 use tokio::time::timeout;
 use wire::{Hello, Kind, Receiver, Sender, connect};
 
-/// How many come at once.
+/// The number of entries.
 const ENTRIES: usize = 120;
 
-/// What the list of all entries takes in a message, in bytes, at the most.
-const LIST: u64 = 60 * ENTRIES as u64;
+/// The maximum size of the list of all entries in a message, in bytes.
+const MAX_LIST_BYTES: u64 = 60 * ENTRIES as u64;
 
-/// How many times its size one entry may be sent while all come: once as it connects, once in
-/// differences, and as much again for the plan, the upstreams and the heartbeats.
-const TIMES: u64 = 4;
+/// The maximum number of bytes that one entry is sent, as a multiple of the list's size: once as it
+/// connects, once in differences, and as much again for the plan, the upstreams and the heartbeats.
+const MAX_MULTIPLE: u64 = 4;
 
 fn seen(number: usize) -> EntrySeen {
     EntrySeen {
@@ -42,7 +42,7 @@
     (sender, receiver)
 }
 
-/// Reads until all entries are told, and returns how many bytes it took.
+/// Reads until the list holds all entries, and returns the number of bytes received.
 async fn read_all(receiver: &mut Receiver<ToEntry>) -> u64 {
     let mut known = NumberedList::<EntrySeen>::default();
     while known.list.len() < ENTRIES {
@@ -57,14 +57,12 @@
     receiver.received()
 }
 
-/// Symptom: after a loss of all power a member passes its memory of 256 MB within three seconds, is
-/// ended, and hardly any request is served until the others have taken over; with 295 entries it made
-/// some 1.4 GB of messages.
-/// Sequence: all entries connect at once.
-/// Cause: each that comes or goes had the whole list sent to all, as a copy for each, and the queues
-/// held all of these.
+/// Guards against a member that exceeds its memory of 256 MB within three seconds after a loss of all
+/// power and is killed, so that hardly any request is served until the others take over. When all 295
+/// entries connect at once and each causes a copy of the whole list to be queued for every entry, the
+/// queues hold some 1.4 GB of messages.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_that_come_at_once_cost_each_a_few_lists() {
+async fn entries_that_connect_at_once_are_each_sent_few_lists() {
     let env = Env::new(1, 0);
     let member = env.member(0, true).await;
     put(&[&member], "1 first").await;
@@ -77,7 +75,10 @@
             (sender, receiver, bytes)
         });
     }
-    let joined = timeout(PATIENCE, joining.join_all()).await.expect("all are told of all");
+    let joined = timeout(TIMEOUT, joining.join_all()).await.expect("all are told of all");
     let most = joined.iter().map(|it| it.2).max().expect("some entry");
-    assert!(most <= TIMES * LIST, "{most} bytes to one entry, {LIST} for a list");
+    assert!(
+        most <= MAX_MULTIPLE * MAX_LIST_BYTES,
+        "{most} bytes to one entry, {MAX_LIST_BYTES} for a list"
+    );
 }
--- a/crates/registry/tests/current.rs
+++ b/crates/registry/tests/current.rs
@@ -1,4 +1,4 @@
-//! Which members vouch for the plan that they hold.
+//! When a member reports its plan as the newest acknowledged one.
 
 use registry::CurrentView;
 use types::{LogIndex, Term};
@@ -19,9 +19,9 @@
 };
 
 const CASES: &[Case] = &[
-    Case { name: "applied all of this term", view: USUAL, current: true },
+    Case { name: "applied everything committed in this term", view: USUAL, current: true },
     Case {
-        name: "a new leader told the commit of before",
+        name: "a new leader sent a commit index of an earlier term",
         view: CurrentView {
             commit: LogIndex(35),
             commit_term: Some(Term(4)),
@@ -31,26 +31,25 @@
         current: false,
     },
     Case {
-        name: "behind in applying",
+        name: "committed entries not applied yet",
         view: CurrentView { applied: LogIndex(37), ..USUAL },
         current: false,
     },
     Case { name: "no leader", view: CurrentView { has_leader: false, ..USUAL }, current: false },
     Case { name: "not a member", view: CurrentView { is_member: false, ..USUAL }, current: false },
     Case {
-        name: "a log that tells nothing",
+        name: "unknown term of the commit index",
         view: CurrentView { commit_term: None, ..USUAL },
         current: false,
     },
 ];
 
-/// Symptom: entries that start after a loss of all power serve plan 67 for some ms, although 69 was
-/// acknowledged and in force before.
-/// Sequence: the change is committed and acknowledged; all members lose power before they have
-/// written how far is committed; a new leader tells the others the commit that it knows.
-/// Cause: a member that has applied that far takes itself to be up to date.
+/// Guards against entries that start after a loss of all power and serve an older plan for some ms,
+/// such as 67 although 69 was acknowledged. All members lose power before they have written the last
+/// commit index; a new leader sends an older one, and a member that has applied it believes that it is
+/// up to date.
 #[test]
-fn a_member_vouches_only_for_what_the_present_leader_has_settled() {
+fn a_plan_is_current_only_if_the_present_leader_committed_in_its_term() {
     for case in CASES {
         assert_eq!(case.view.is_current(), case.current, "{}", case.name);
     }
--- a/crates/registry/tests/difference.rs
+++ b/crates/registry/tests/difference.rs
@@ -1,4 +1,4 @@
-//! Lists, and what turns one into the next.
+//! Differences between lists.
 
 use std::net::SocketAddr;
 
@@ -22,16 +22,22 @@
     name: &'static str,
     before: &'static [u16],
     after: &'static [u16],
-    gone: usize,
-    come: usize,
+    removed: usize,
+    updated: usize,
 }
 
 const CASES: &[Case] = &[
-    Case { name: "nothing", before: &[], after: &[], gone: 0, come: 0 },
-    Case { name: "the first come", before: &[], after: &[2, 1], gone: 0, come: 2 },
-    Case { name: "one comes between", before: &[1, 3], after: &[1, 2, 3], gone: 0, come: 1 },
-    Case { name: "one goes", before: &[1, 2, 3], after: &[1, 3], gone: 1, come: 0 },
-    Case { name: "all others", before: &[1, 2], after: &[3, 4, 5], gone: 2, come: 3 },
+    Case { name: "two empty lists", before: &[], after: &[], removed: 0, updated: 0 },
+    Case { name: "from an empty list", before: &[], after: &[2, 1], removed: 0, updated: 2 },
+    Case {
+        name: "one added in the middle",
+        before: &[1, 3],
+        after: &[1, 2, 3],
+        removed: 0,
+        updated: 1,
+    },
+    Case { name: "one removed", before: &[1, 2, 3], after: &[1, 3], removed: 1, updated: 0 },
+    Case { name: "all replaced", before: &[1, 2], after: &[3, 4, 5], removed: 2, updated: 3 },
 ];
 
 #[test]
@@ -39,14 +45,14 @@
     for case in CASES {
         let (before, after) = (numbered(1, case.before), numbered(2, case.after));
         let difference = before.difference(&after);
-        assert_eq!(difference.removed.len(), case.gone, "{}", case.name);
-        assert_eq!(difference.updated.len(), case.come, "{}", case.name);
+        assert_eq!(difference.removed.len(), case.removed, "{}", case.name);
+        assert_eq!(difference.updated.len(), case.updated, "{}", case.name);
         assert_eq!(before.apply(difference).as_ref(), Some(&after), "{}", case.name);
     }
 }
 
 #[test]
-fn what_changed_under_its_key_comes_anew() {
+fn an_element_that_changed_is_sent_again() {
     let before = numbered(1, &[1, 2]);
     let mut list = entries(&[1, 2]);
     list[1].name = "other".to_owned();
@@ -56,11 +62,10 @@
     assert_eq!(before.apply(difference), Some(after));
 }
 
-/// Symptom looked for: an entry knows upstreams that no member ever listed together.
-/// Sequence: a difference is lost with a connection, the next one is applied.
-/// Cause it would have: the number of the list before is not compared.
+/// Guards against an entry that has a list which no member ever published: a difference is lost with a
+/// connection, and the next one is applied to the wrong list because its base is not checked.
 #[test]
-fn a_difference_to_another_list_is_not_applied() {
+fn a_difference_from_another_list_is_not_applied() {
     let difference = numbered(2, &[1]).difference(&numbered(3, &[1, 2]));
     assert_eq!(numbered(1, &[1]).apply(difference), None);
 }
--- a/crates/registry/tests/env/mod.rs
+++ b/crates/registry/tests/env/mod.rs
@@ -1,6 +1,6 @@
-//! Members on loopback.
+//! Starts members and followers on loopback addresses.
 
-#![allow(dead_code)] // Each test program uses its own part of this.
+#![allow(dead_code)] // Each test program uses only some of these functions.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,10 +17,10 @@
 use types::{StepResult, Version};
 use wire::{Hello, Kind, Receiver, Sender};
 
-/// How long anything may take; far above what it takes on a busy machine.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+/// The timeout of all waits; far above what they take on a busy machine.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Plans of tests are their version as text; `bad` can't be read.
+/// Parses the tests' plans, which start with their version as text; `bad` is invalid.
 pub(crate) struct TextCodec;
 
 impl Codec for TextCodec {
@@ -31,7 +31,7 @@
     }
 }
 
-/// A list with one upstream.
+/// A list of upstreams with one element.
 pub(crate) struct OneUpstream;
 
 impl ListSource for OneUpstream {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The places of a deployment's members.
+/// The addresses and data folders of a deployment's members.
 pub(crate) struct Env {
     folder: TempDir,
     pub(crate) addresses: Vec<SocketAddr>,
@@ -57,7 +57,7 @@
 }
 
 impl Env {
-    /// Makes places for `count` members, of which `losses` may be lost.
+    /// Reserves addresses for `count` members, of which `losses` may be lost.
     pub(crate) fn new(count: usize, losses: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let ports = Ports::open();
@@ -65,12 +65,12 @@
         Self { folder, addresses, losses, _ports: ports }
     }
 
-    /// The data folder of a member.
+    /// Returns the data folder of a member.
     pub(crate) fn data_dir(&self, number: usize) -> PathBuf {
         self.folder.path().join(number.to_string())
     }
 
-    /// The addresses that all processes are told.
+    /// Returns the seed addresses of all processes.
     pub(crate) fn seeds(&self) -> Vec<SocketAddr> {
         self.addresses.iter().take(3).copied().collect()
     }
@@ -89,7 +89,7 @@
         started.expect("a member")
     }
 
-    /// Connects to a member as an entry does, for a test that plays the entry.
+    /// Connects to a member as an entry, for a test that handles the messages itself.
     pub(crate) async fn connect(
         &self,
         address: SocketAddr,
@@ -100,12 +100,12 @@
         connection.expect("a member").split()
     }
 
-    /// Starts a follower of the members.
+    /// Starts a follower with the members' seed addresses.
     pub(crate) fn follower(&self) -> Follower {
         self.follower_of(self.seeds())
     }
 
-    /// Starts a follower of what is at these addresses.
+    /// Starts a follower with these seed addresses.
     pub(crate) fn follower_of(&self, seeds: Vec<SocketAddr>) -> Follower {
         let config = FollowerConfig {
             entry: registry::EntrySeen {
@@ -122,8 +122,8 @@
 
 /// Sends a plan to the members in turn until one acknowledges it.
 pub(crate) async fn put(members: &[&Member<TextCodec>], text: &str) -> Version {
-    let by = Instant::now() + PATIENCE;
-    while Instant::now() < by {
+    let deadline = Instant::now() + TIMEOUT;
+    while Instant::now() < deadline {
         for member in members {
             if let PutOutcome::Accepted(version) = member.put(text.as_bytes().to_vec()).await {
                 return version;
@@ -134,10 +134,10 @@
     panic!("{text} was not acknowledged");
 }
 
-/// Reads the plan from the members in turn until one is sure of it.
+/// Reads the plan from the members in turn until one returns it as confirmed.
 pub(crate) async fn read(members: &[&Member<TextCodec>]) -> String {
-    let by = Instant::now() + PATIENCE;
-    while Instant::now() < by {
+    let deadline = Instant::now() + TIMEOUT;
+    while Instant::now() < deadline {
         for member in members {
             if let ReadOutcome::Plan(_, held) = member.read().await {
                 return String::from_utf8(held.text.clone()).expect("text");
@@ -145,5 +145,5 @@
         }
         sleep(Duration::from_millis(20)).await;
     }
-    panic!("no member is sure of the plan");
+    panic!("no member could confirm the plan");
 }
--- a/crates/registry/tests/loads.rs
+++ b/crates/registry/tests/loads.rs
@@ -1,11 +1,11 @@
-//! How often loads are handed out.
+//! The interval at which loads are sent to entries.
 
 use std::time::Duration;
 
 use registry::loads_period;
 
-/// The bytes a second that control may take of a node.
-const BOUND: f64 = 9_000.0;
+/// The maximum rate of control traffic per node, in bytes per second.
+const MAX_RATE: f64 = 9_000.0;
 
 struct Case {
     upstreams: usize,
@@ -19,15 +19,14 @@
     Case { upstreams: 600, ms: 500 },
 ];
 
-/// Symptom: control takes 16 kB a second of each entry.
-/// Sequence: a deployment grows to 600 upstreams; the sum of loads goes out as often as before.
-/// Cause: a period that does not grow with what is sent.
+/// Guards against control traffic of 16 kB/s per entry in a deployment of 600 upstreams, when the sum
+/// of the loads is sent as often as in a small one.
 #[test]
-fn loads_go_out_less_often_where_there_are_more_upstreams() {
+fn loads_are_sent_less_often_if_there_are_more_upstreams() {
     for case in CASES {
         let period = loads_period(case.upstreams);
         assert_eq!(period, Duration::from_millis(case.ms), "{} upstreams", case.upstreams);
         let rate = case.upstreams as f64 * 5.0 / period.as_secs_f64();
-        assert!(rate <= BOUND, "{} upstreams: {rate} bytes/s", case.upstreams);
+        assert!(rate <= MAX_RATE, "{} upstreams: {rate} bytes/s", case.upstreams);
     }
 }
--- a/crates/registry/tests/plan.rs
+++ b/crates/registry/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The plan that is held: the highest version wins.
+//! The stored plan is the one with the highest version.
 
 use registry::plan::{PutPlan, StoredPlan};
 use types::Version;
@@ -10,11 +10,15 @@
 }
 
 const CASES: &[Case] = &[
-    Case { name: "the first is held", puts: &[(3, "a")], held: (3, "a") },
+    Case { name: "the first is stored", puts: &[(3, "a")], held: (3, "a") },
     Case { name: "a higher one replaces it", puts: &[(3, "a"), (9, "b")], held: (9, "b") },
     Case { name: "a lower one changes nothing", puts: &[(9, "b"), (3, "a")], held: (9, "b") },
     Case { name: "the same again changes nothing", puts: &[(3, "a"), (3, "a")], held: (3, "a") },
-    Case { name: "another text under it is not held", puts: &[(3, "a"), (3, "b")], held: (3, "a") },
+    Case {
+        name: "another text with the same version is not stored",
+        puts: &[(3, "a"), (3, "b")],
+        held: (3, "a"),
+    },
 ];
 
 #[test]
--- a/crates/registry/tests/quarantine_fleet.rs
+++ b/crates/registry/tests/quarantine_fleet.rs
@@ -1,5 +1,5 @@
-//! Requests that end upstreams, at fleets of several sizes: the decisions alone, in virtual time, with news
-//! that are late or lost.
+//! Requests that terminate upstreams, in fleets of several sizes. Simulates the entries, the leader and
+//! the upstreams in virtual time, with messages that are delayed or lost.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -13,45 +13,47 @@
 };
 use registry::{RequestDigest, Stamp};
 
-/// How long a run plays, in ms.
-const END: u64 = 90_000;
+/// The duration of a simulation, in ms.
+const END_MS: u64 = 90_000;
 
-/// How long after the third end retries count, in ms: the least of all deployments.
-const CONTACT: u64 = 3_000;
+/// The time after the third termination from which requests count as late, in ms: the shortest of all
+/// deployments.
+const CONTACT_MS: u64 = 3_000;
 
-/// How many retries may reach upstreams after that.
-const RETRIES: usize = 3;
+/// The maximum number of late requests that may reach upstreams.
+const MAX_LATE: usize = 3;
 
-/// How long an upstream is away, in ms.
-const AWAY: u64 = 7_000;
+/// The time that an upstream takes to restart, in ms.
+const RESTART_MS: u64 = 7_000;
 
-/// How often the leader looks whether enough is known of ends, in ms.
-const SETTLE: u64 = 100;
+/// The interval at which the leader decides on the causes of terminations, in ms.
+const DECISION_PERIOD_MS: u64 = 100;
 
-/// When entries look whether an upstream has ended, in ms after it has.
-const LOOK: u64 = 25;
+/// The time after which entries detect that an upstream has terminated, in ms.
+const DETECTION_MS: u64 = 25;
 
 struct Case {
     name: &'static str,
     entries: usize,
     upstreams: usize,
-    /// Requests that end upstreams, and how often each comes back, in ms.
-    fatal: (u32, u64),
-    /// Sound requests a second.
-    sound: u64,
-    /// The share of upstreams that is lost at once, every 15 s.
+    /// The number of requests that terminate upstreams, and the interval at which each is retried, in ms.
+    harmful: (u32, u64),
+    /// Harmless requests per second.
+    harmless: u64,
+    /// The share of upstreams that terminate at the same time, every 15 s.
     rack: f64,
-    /// The share of entries that is killed and back at once, every 15 s.
-    herd: f64,
-    /// The share of messages that is lost.
+    /// The share of entries that are killed and restart at once, every 15 s.
+    killed: f64,
+    /// The share of messages that are lost.
     lost: f64,
 }
 
-/// Besides the first two, seeds with which a sound request was held: one that meets the ends of several others,
-/// a popular one as all upstreams lose power, or evidence is lost.
+/// The first two seeds, and those with which a harmless request was held once: one that was in flight at
+/// terminations by several others, a frequent one when all upstreams lost power, or one whose evidence
+/// was lost.
 const SEEDS: [u64; 9] = [0, 1, 4, 32, 47, 95, 97, 105, 181];
 
-/// The seeds to play: so many as the variable `QUARANTINE_SEEDS` says, or the ones that are kept.
+/// Returns the seeds to simulate: as many as the variable `QUARANTINE_SEEDS` says, or [`SEEDS`].
 fn seeds() -> Vec<u64> {
     let count = std::env::var("QUARANTINE_SEEDS").ok().and_then(|it| it.parse().ok());
     count.map_or_else(|| SEEDS.to_vec(), |it: u64| (0..it).collect())
@@ -62,124 +64,128 @@
         name: "6 entries",
         entries: 6,
         upstreams: 12,
-        fatal: (2, 1_000),
-        sound: 60,
+        harmful: (2, 1_000),
+        harmless: 60,
         rack: 0.0,
-        herd: 0.0,
+        killed: 0.0,
         lost: 0.0,
     },
     Case {
-        name: "6, lossy",
+        name: "6 entries, lossy",
         entries: 6,
         upstreams: 12,
-        fatal: (2, 700),
-        sound: 60,
+        harmful: (2, 700),
+        harmless: 60,
         rack: 0.0,
-        herd: 0.0,
+        killed: 0.0,
         lost: 0.1,
     },
     Case {
-        name: "60",
+        name: "60 entries",
         entries: 60,
         upstreams: 60,
-        fatal: (4, 500),
-        sound: 300,
+        harmful: (4, 500),
+        harmless: 300,
         rack: 0.15,
-        herd: 0.0,
+        killed: 0.0,
         lost: 0.02,
     },
     Case {
-        name: "295",
+        name: "295 entries",
         entries: 295,
         upstreams: 160,
-        fatal: (6, 300),
-        sound: 700,
+        harmful: (6, 300),
+        harmless: 700,
         rack: 0.15,
-        herd: 0.0,
+        killed: 0.0,
         lost: 0.02,
     },
     Case {
-        name: "racks alone",
+        name: "only losses of racks",
         entries: 60,
         upstreams: 60,
-        fatal: (0, 1_000),
-        sound: 600,
+        harmful: (0, 1_000),
+        harmless: 600,
         rack: 0.4,
-        herd: 0.0,
+        killed: 0.0,
         lost: 0.02,
     },
     Case {
         name: "all upstreams lose power",
         entries: 60,
         upstreams: 60,
-        fatal: (0, 1_000),
-        sound: 600,
+        harmful: (0, 1_000),
+        harmless: 600,
         rack: 1.0,
-        herd: 0.0,
+        killed: 0.0,
         lost: 0.02,
     },
     Case {
         name: "half of the entries killed",
         entries: 60,
         upstreams: 60,
-        fatal: (4, 500),
-        sound: 300,
+        harmful: (4, 500),
+        harmless: 300,
         rack: 0.0,
-        herd: 0.5,
+        killed: 0.5,
         lost: 0.02,
     },
     Case {
-        name: "racks and entries",
+        name: "losses of racks, and entries killed",
         entries: 60,
         upstreams: 60,
-        fatal: (4, 500),
-        sound: 300,
+        harmful: (4, 500),
+        harmless: 300,
         rack: 0.15,
-        herd: 0.5,
+        killed: 0.5,
         lost: 0.02,
     },
 ];
 
-/// One run at an upstream.
+/// One run of a request at an upstream.
 #[derive(Clone, Copy)]
 struct Run {
     request: u32,
     entry: usize,
     sent: u64,
-    turn: u64,
+    number: u64,
 }
 
 enum Event {
-    /// A request comes to an entry; a sound one may have met so many ends.
-    Comes {
+    /// A request arrives at an entry; `ends` upstreams terminated while they ran earlier attempts.
+    Arrives {
         request: u32,
         entry: usize,
         ends: u32,
     },
-    /// A run comes to its end, or to its upstream's.
-    Runs {
+    /// A run completes, or terminates its upstream.
+    RunEnds {
         run: Run,
         upstream: usize,
     },
+    /// A rack fails: its upstreams terminate.
     Rack,
-    Herd,
-    Settle,
-    Back(usize),
+    /// Some entries are killed and restart.
+    EntriesKilled,
+    /// The leader decides on the causes of terminations.
+    Decide,
+    /// An upstream has restarted.
+    Restarted(usize),
     ToLeader(usize, Evidence),
     ToEntry(usize, QuarantineList),
 }
 
 #[derive(Default)]
 struct Upstream {
-    life: u32,
+    incarnation: u32,
     up: bool,
-    /// Runs by turn, with the ends that they met before.
+    /// Runs by sequence number, with the number of terminations during earlier attempts.
     runs: HashMap<u64, (Run, u32)>,
 }
 
-/// What was seen of one request that ends upstreams.
+/// The times, in ms, at which one harmful request was sent and terminated upstreams.
 #[derive(Default)]
-struct Seen {
+struct Timeline {
     ends: Vec<u64>,
     sends: Vec<u64>,
 }
@@ -191,20 +197,22 @@
     now: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
-    turns: u64,
+    sequence: u64,
     upstreams: Vec<Upstream>,
     leader: Quarantine,
-    told: QuarantineList,
+    list: QuarantineList,
     known: Vec<Known>,
-    seen: HashMap<u32, Seen>,
-    /// Sound requests that were refused, and the bytes that were told.
+    seen: HashMap<u32, Timeline>,
+    /// The number of harmless requests that were refused.
     refused: usize,
+    /// The number of bytes that entries and the leader sent.
     bytes: usize,
+    /// The number of decisions to hold a harmless request.
     wrong: usize,
 }
 
-/// A popular sound request; others come once.
-const POPULAR: u32 = 1_000;
+/// A frequent harmless request; the other harmless ones are sent once.
+const FREQUENT: u32 = 1_000;
 
 impl<'a> Fleet<'a> {
     fn new(case: &'a Case, seed: u64) -> Self {
@@ -216,10 +224,10 @@
             now: 0,
             queue: BinaryHeap::new(),
             events: HashMap::new(),
-            turns: 0,
+            sequence: 0,
             upstreams: (0..case.upstreams).map(|_| upstream()).collect(),
             leader: Quarantine::default(),
-            told: QuarantineList::default(),
+            list: QuarantineList::default(),
             known: vec![Known::default(); case.entries],
             seen: HashMap::new(),
             refused: 0,
@@ -228,48 +236,52 @@
         }
     }
 
-    fn at(&mut self, after: u64, event: Event) {
-        self.turns += 1;
-        self.queue.push(Reverse((self.now + after, self.turns)));
-        self.events.insert(self.turns, event);
+    fn schedule(&mut self, after: u64, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse((self.now + after, self.sequence)));
+        self.events.insert(self.sequence, event);
     }
 
     fn instant(&self) -> Instant {
         self.start + Duration::from_millis(self.now)
     }
 
-    fn is_fatal(&self, request: u32) -> bool {
-        request < self.case.fatal.0
+    fn is_harmful(&self, request: u32) -> bool {
+        request < self.case.harmful.0
     }
 
-    fn play(mut self) -> Self {
-        let (fatal, period) = self.case.fatal;
-        for request in 0..fatal {
-            for turn in 0..END / period {
+    fn simulate(mut self) -> Self {
+        let (harmful, period) = self.case.harmful;
+        for request in 0..harmful {
+            for turn in 0..END_MS / period {
                 let entry = self.rng.random_range(0..self.case.entries);
                 let after = turn * period + self.jitter(period);
-                self.at(after, Event::Comes { request, entry, ends: 0 });
+                self.schedule(after, Event::Arrives { request, entry, ends: 0 });
             }
         }
-        for turn in 0..END * self.case.sound / 1_000 {
+        for turn in 0..END_MS * self.case.harmless / 1_000 {
             let entry = self.rng.random_range(0..self.case.entries);
-            let popular = self.rng.random_bool(0.05);
-            let request = if popular { POPULAR } else { POPULAR + 1 + turn as u32 };
-            self.at(turn * 1_000 / self.case.sound, Event::Comes { request, entry, ends: 0 });
+            let frequent = self.rng.random_bool(0.05);
+            let request = if frequent { FREQUENT } else { FREQUENT + 1 + turn as u32 };
+            self.schedule(
+                turn * 1_000 / self.case.harmless,
+                Event::Arrives { request, entry, ends: 0 },
+            );
         }
         if self.case.rack > 0.0 {
-            (1..END / 15_000).for_each(|it| self.at(it * 15_000, Event::Rack));
+            (1..END_MS / 15_000).for_each(|it| self.schedule(it * 15_000, Event::Rack));
         }
-        if self.case.herd > 0.0 {
-            (1..END / 15_000).for_each(|it| self.at(it * 15_000 - 7_000, Event::Herd));
+        if self.case.killed > 0.0 {
+            (1..END_MS / 15_000)
+                .for_each(|it| self.schedule(it * 15_000 - 7_000, Event::EntriesKilled));
         }
-        while let Some(Reverse((at, turn))) = self.queue.pop() {
-            if at > END {
+        while let Some(Reverse((at, number))) = self.queue.pop() {
+            if at > END_MS {
                 break;
             }
             self.now = at;
-            let event = self.events.remove(&turn).expect("an event");
-            self.take(event);
+            let event = self.events.remove(&number).expect("an event");
+            self.handle(event);
         }
         self
     }
@@ -278,35 +290,35 @@
         self.rng.random_range(0..most)
     }
 
-    /// How long a message is on its way; `None` if it is lost.
-    fn way(&mut self) -> Option<u64> {
+    /// Returns the latency of a message in ms, or `None` if it is lost.
+    fn latency(&mut self) -> Option<u64> {
         let lost = self.rng.random_bool(self.case.lost);
         let again = if self.rng.random_bool(0.05) { 220 } else { 0 };
         (!lost).then(|| 1 + self.rng.random_range(0..25) + again)
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Comes { request, entry, ends } => self.comes(request, entry, ends),
-            Event::Runs { run, upstream } => self.runs(run, upstream),
-            Event::Settle => {
+            Event::Arrives { request, entry, ends } => self.arrive(request, entry, ends),
+            Event::RunEnds { run, upstream } => self.finish_run(run, upstream),
+            Event::Decide => {
                 let now = self.instant();
                 let decisions = self.leader.decide_due(now);
                 self.publish(&decisions);
                 if !self.leader.is_decided() {
-                    self.at(SETTLE, Event::Settle);
+                    self.schedule(DECISION_PERIOD_MS, Event::Decide);
                 }
             }
             Event::Rack => {
                 let share = (self.case.upstreams as f64 * self.case.rack) as usize;
-                (0..share).for_each(|it| self.end(it));
+                (0..share).for_each(|it| self.terminate(it));
             }
-            Event::Herd => {
-                let share = (self.case.entries as f64 * self.case.herd) as usize;
+            Event::EntriesKilled => {
+                let share = (self.case.entries as f64 * self.case.killed) as usize;
                 (0..share).for_each(|it| self.restart(it));
             }
-            Event::Back(upstream) => self.upstreams[upstream].up = true,
-            Event::ToLeader(entry, evidence) => self.lead(entry, evidence),
+            Event::Restarted(upstream) => self.upstreams[upstream].up = true,
+            Event::ToLeader(entry, evidence) => self.handle_evidence(entry, evidence),
             Event::ToEntry(entry, list) => {
                 let now = self.instant();
                 self.known[entry].update(&list, now);
@@ -314,12 +326,12 @@
         }
     }
 
-    fn comes(&mut self, request: u32, entry: usize, ends: u32) {
+    fn arrive(&mut self, request: u32, entry: usize, ends: u32) {
         let digest = digest(request);
         match self.known[entry].standing(&digest, self.instant()) {
             Standing::Free | Standing::Watched => {}
             Standing::Held(_) | Standing::Due => {
-                self.refused += usize::from(!self.is_fatal(request));
+                self.refused += usize::from(!self.is_harmful(request));
                 return;
             }
         }
@@ -329,87 +341,87 @@
             return;
         }
         let upstream = up[self.rng.random_range(0..up.len())];
-        self.turns += 1;
-        let run = Run { request, entry, sent: self.now, turn: self.turns };
-        self.upstreams[upstream].runs.insert(run.turn, (run, ends));
-        let fatal = self.is_fatal(request);
-        if fatal {
+        self.sequence += 1;
+        let run = Run { request, entry, sent: self.now, number: self.sequence };
+        self.upstreams[upstream].runs.insert(run.number, (run, ends));
+        let harmful = self.is_harmful(request);
+        if harmful {
             self.seen.entry(request).or_default().sends.push(self.now);
         }
-        let lasts = if fatal { 40 + self.jitter(150) } else { 60 + self.jitter(900) };
-        self.at(lasts, Event::Runs { run, upstream });
+        let duration = if harmful { 40 + self.jitter(150) } else { 60 + self.jitter(900) };
+        self.schedule(duration, Event::RunEnds { run, upstream });
     }
 
-    fn runs(&mut self, run: Run, upstream: usize) {
-        if !self.upstreams[upstream].runs.contains_key(&run.turn) {
+    fn finish_run(&mut self, run: Run, upstream: usize) {
+        if !self.upstreams[upstream].runs.contains_key(&run.number) {
             return;
         }
-        if self.is_fatal(run.request) {
-            self.end(upstream);
+        if self.is_harmful(run.request) {
+            self.terminate(upstream);
             self.seen.entry(run.request).or_default().ends.push(self.now);
             return;
         }
-        self.upstreams[upstream].runs.remove(&run.turn);
+        self.upstreams[upstream].runs.remove(&run.number);
         let digest = digest(run.request);
         if self.known[run.entry].standing(&digest, self.instant()) != Standing::Free {
-            self.tell(run.entry, Evidence::Completed(digest), 0);
+            self.report(run.entry, Evidence::Completed(digest), 0);
         }
     }
 
-    /// Ends an upstream: its entries tell what they had there, and sound requests go on elsewhere.
-    fn end(&mut self, upstream: usize) {
+    /// Terminates an upstream: entries report what they had in flight there, and retry harmless requests.
+    fn terminate(&mut self, upstream: usize) {
         let it = &mut self.upstreams[upstream];
         if !std::mem::replace(&mut it.up, false) {
             return;
         }
-        let life = it.life;
-        it.life += 1;
+        let incarnation = it.incarnation;
+        it.incarnation += 1;
         let mut by_entry: HashMap<usize, Vec<RunSeen>> = HashMap::new();
         let mut lost: Vec<(Run, u32)> = it.runs.drain().map(|it| it.1).collect();
-        lost.sort_by_key(|it| it.0.turn);
+        lost.sort_by_key(|it| it.0.number);
         for (run, ends) in lost {
             let age_ms = (self.now - run.sent) as u32;
             let seen = RunSeen { digest: digest(run.request), age_ms };
             by_entry.entry(run.entry).or_default().push(seen);
-            if !self.is_fatal(run.request) && ends < 3 {
+            if !self.is_harmful(run.request) && ends < 3 {
                 let (request, entry) = (run.request, run.entry);
-                self.at(1, Event::Comes { request, entry, ends: ends + 1 });
+                self.schedule(1, Event::Arrives { request, entry, ends: ends + 1 });
             }
         }
         let mut by_entry: Vec<_> = by_entry.into_iter().collect();
         by_entry.sort_by_key(|it| it.0);
         for (entry, runs) in by_entry {
-            let upstream = format!("u-{upstream}-{life}");
-            let seen = EndSeen { upstream, ago_ms: LOOK as u32, runs, clock: None };
-            self.tell(entry, Evidence::EndedAt(self.now, seen), LOOK);
+            let upstream = format!("u-{upstream}-{incarnation}");
+            let seen = EndSeen { upstream, ago_ms: DETECTION_MS as u32, runs, clock: None };
+            self.report(entry, Evidence::EndedAt(self.now, seen), DETECTION_MS);
         }
-        self.at(AWAY, Event::Back(upstream));
+        self.schedule(RESTART_MS, Event::Restarted(upstream));
     }
 
-    /// Restarts an entry: its runs end and nobody tells of them, and it is told the list anew.
+    /// Restarts an entry: its runs end unreported, and it receives the list again.
     fn restart(&mut self, entry: usize) {
         for upstream in &mut self.upstreams {
             upstream.runs.retain(|_, it| it.0.entry != entry);
         }
         self.known[entry] = Known::default();
-        let way = self.way().unwrap_or(450);
-        self.at(way, Event::ToEntry(entry, self.told.clone()));
+        let latency = self.latency().unwrap_or(450);
+        self.schedule(latency, Event::ToEntry(entry, self.list.clone()));
     }
 
-    fn tell(&mut self, entry: usize, evidence: Evidence, after: u64) {
+    fn report(&mut self, entry: usize, evidence: Evidence, after: u64) {
         self.bytes += postcard::to_allocvec(&evidence).expect("a message").len();
-        if let Some(way) = self.way() {
-            self.at(after + way, Event::ToLeader(entry, evidence));
+        if let Some(latency) = self.latency() {
+            self.schedule(after + latency, Event::ToLeader(entry, evidence));
         }
     }
 
-    fn lead(&mut self, entry: usize, evidence: Evidence) {
+    fn handle_evidence(&mut self, entry: usize, evidence: Evidence) {
         let now = self.instant();
         let address = SocketAddr::from(([10, 0, 0, 1], entry as u16));
         let decisions = match evidence {
             Evidence::EndedAt(at_ms, mut seen) => {
                 if self.leader.is_decided() {
-                    self.at(SETTLE, Event::Settle);
+                    self.schedule(DECISION_PERIOD_MS, Event::Decide);
                 }
                 seen.clock = Some(EntryClock { incarnation: entry as u64, at_ms });
                 self.leader.record_end(&seen, now)
@@ -421,25 +433,26 @@
         self.publish(&decisions);
     }
 
-    /// Tells all entries what has changed.
+    /// Sends the list to all entries if it changed.
     fn publish(&mut self, decisions: &[Decision]) {
         let now = self.instant();
-        let fatal: Vec<RequestDigest> = (0..self.case.fatal.0).map(digest).collect();
-        let sound = |it: &Decision| matches!(it, Decision::Held(d, _) if !fatal.contains(d));
-        self.wrong += decisions.iter().filter(|it| sound(it)).count();
-        let stamp = Stamp { term: 1, count: self.told.stamp.count + 1 };
+        let harmful: Vec<RequestDigest> = (0..self.case.harmful.0).map(digest).collect();
+        let is_harmless =
+            |it: &Decision| matches!(it, Decision::Held(d, _) if !harmful.contains(d));
+        self.wrong += decisions.iter().filter(|it| is_harmless(it)).count();
+        let stamp = Stamp { term: 1, count: self.list.stamp.count + 1 };
         let list = self.leader.list(stamp, now);
-        let same = list.watched == self.told.watched && list.held.len() == self.told.held.len();
+        let same = list.watched == self.list.watched && list.held.len() == self.list.held.len();
         if same && decisions.is_empty() {
             return;
         }
-        self.told = list.clone();
+        self.list = list.clone();
         let size = postcard::to_allocvec(&list).expect("a message").len();
         self.bytes += size * self.case.entries;
         for entry in 0..self.case.entries {
-            // Lists go over connections, which send again what is lost.
-            let way = self.way().unwrap_or(450);
-            self.at(way, Event::ToEntry(entry, list.clone()));
+            // Lists are sent over connections, which resend lost packets.
+            let latency = self.latency().unwrap_or(450);
+            self.schedule(latency, Event::ToEntry(entry, list.clone()));
         }
     }
 }
@@ -449,21 +462,22 @@
 }
 
 fn check(case: &Case, seed: u64) {
-    let fleet = Fleet::new(case, seed).play();
+    let fleet = Fleet::new(case, seed).simulate();
     let name = format!("{}, seed {seed}", case.name);
-    for request in 0..case.fatal.0 {
+    for request in 0..case.harmful.0 {
         let seen = &fleet.seen[&request];
-        let third = seen.ends.get(2).copied().unwrap_or(END);
-        let late = seen.sends.iter().filter(|it| **it > third + CONTACT).count();
-        assert!(late <= RETRIES, "{name}: request {request} was sent {late} times more");
+        let third = seen.ends.get(2).copied().unwrap_or(END_MS);
+        let late = seen.sends.iter().filter(|it| **it > third + CONTACT_MS).count();
+        assert!(late <= MAX_LATE, "{name}: request {request} was sent {late} times more");
     }
     let harm = (fleet.wrong, fleet.refused);
-    assert_eq!(harm, (0, 0), "{name}: sound requests held, refused");
+    assert_eq!(harm, (0, 0), "{name}: harmless requests held, refused");
 }
 
-/// A request that ends upstreams goes on to end them, or a sound one that was under way is refused.
+/// Guards against a harmful request that continues to terminate upstreams, and against harmless requests
+/// that are refused because they were in flight at the same terminations.
 #[test]
-fn few_upstreams_end_under_a_request_and_no_sound_one_is_refused() {
+fn few_upstreams_terminate_and_no_harmless_request_is_refused() {
     std::thread::scope(|scope| {
         for case in CASES {
             scope.spawn(|| seeds().into_iter().for_each(|it| check(case, it)));
--- a/crates/registry/tests/repair.rs
+++ b/crates/registry/tests/repair.rs
@@ -1,4 +1,4 @@
-//! How the membership mends itself.
+//! Which change repairs the membership.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,84 +8,84 @@
 use registry::{PeerView, RepairView, VOTER_TIMEOUT, next_membership};
 use types::NodeId;
 
-/// A node: its id, its port, and how it looks to the leader, node 1.
+/// A node: its id, its port, and its state as the leader, node 1, knows it.
 #[derive(Clone, Copy)]
-struct Node(u64, u16, Look);
+struct Node(u64, u16, PeerState);
 
 #[derive(Clone, Copy, PartialEq)]
-enum Look {
-    Well,
+enum PeerState {
+    Ready,
     Behind,
     Silent,
 }
 
-use Look::{Behind, Silent, Well};
+use PeerState::{Behind, Ready, Silent};
 
 struct Case {
     name: &'static str,
     voters: &'static [Node],
     learners: &'static [Node],
     joins: &'static [(u64, u16)],
-    wanted: usize,
+    target: usize,
     /// The ids of the next voters and learners, if there is a change.
     next: Option<(&'static [u64], &'static [u64])>,
 }
 
 const CASES: &[Case] = &[
     Case {
-        name: "all is well",
-        voters: &[Node(1, 1, Well), Node(2, 2, Well), Node(3, 3, Well)],
+        name: "no change is needed",
+        voters: &[Node(1, 1, Ready), Node(2, 2, Ready), Node(3, 3, Ready)],
         learners: &[],
         joins: &[(2, 2)],
-        wanted: 3,
+        target: 3,
         next: None,
     },
     Case {
-        name: "one that asks becomes a learner",
-        voters: &[Node(1, 1, Well)],
+        name: "a node that asks to join becomes a learner",
+        voters: &[Node(1, 1, Ready)],
         learners: &[],
         joins: &[(2, 2)],
-        wanted: 3,
+        target: 3,
         next: Some((&[1], &[2])),
     },
     Case {
-        name: "a caught-up learner becomes a voter where one is missing",
-        voters: &[Node(1, 1, Well)],
-        learners: &[Node(2, 2, Behind), Node(3, 3, Well)],
+        name: "a caught-up learner becomes a voter if one is missing",
+        voters: &[Node(1, 1, Ready)],
+        learners: &[Node(2, 2, Behind), Node(3, 3, Ready)],
         joins: &[],
-        wanted: 3,
+        target: 3,
         next: Some((&[1, 3], &[2])),
     },
     Case {
-        name: "no more voters than wanted",
-        voters: &[Node(1, 1, Well), Node(2, 2, Well), Node(3, 3, Well)],
-        learners: &[Node(4, 4, Well)],
+        name: "a learner stays a learner if there are enough voters",
+        voters: &[Node(1, 1, Ready), Node(2, 2, Ready), Node(3, 3, Ready)],
+        learners: &[Node(4, 4, Ready)],
         joins: &[],
-        wanted: 3,
+        target: 3,
         next: None,
     },
     Case {
-        name: "a lost disk: the old life at an address goes before the new one comes",
-        voters: &[Node(1, 1, Well), Node(2, 2, Silent), Node(3, 3, Well)],
+        name: "a lost disk: the old node at an address is removed before the new one is added",
+        voters: &[Node(1, 1, Ready), Node(2, 2, Silent), Node(3, 3, Ready)],
         learners: &[],
         joins: &[(9, 2)],
-        wanted: 3,
+        target: 3,
         next: Some((&[1, 3], &[])),
     },
     Case {
-        name: "a silent voter stays while nobody can take its place",
-        voters: &[Node(1, 1, Well), Node(2, 2, Silent), Node(3, 3, Well)],
+        name: "a silent voter stays while no learner can replace it",
+        voters: &[Node(1, 1, Ready), Node(2, 2, Silent), Node(3, 3, Ready)],
         learners: &[Node(4, 4, Behind)],
         joins: &[],
-        wanted: 3,
+        target: 3,
         next: None,
     },
     Case {
-        name: "a silent voter goes once a learner stands by",
-        voters: &[Node(1, 1, Well), Node(2, 2, Silent), Node(3, 3, Well)],
-        learners: &[Node(4, 4, Well)],
+        name: "a silent voter is removed once a learner can replace it",
+        voters: &[Node(1, 1, Ready), Node(2, 2, Silent), Node(3, 3, Ready)],
+        learners: &[Node(4, 4, Ready)],
         joins: &[],
-        wanted: 3,
+        target: 3,
         next: Some((&[1, 3], &[4])),
     },
 ];
@@ -103,13 +103,13 @@
 }
 
 #[test]
-fn one_change_at_a_time() {
+fn the_membership_is_repaired_one_change_at_a_time() {
     for case in CASES {
         let membership = Membership { voters: group(case.voters), learners: group(case.learners) };
         let others = case.voters.iter().chain(case.learners).filter(|it| it.0 != 1);
         let peers = others.map(|it| {
             let silent = if it.2 == Silent { VOTER_TIMEOUT } else { Duration::ZERO };
-            (NodeId(it.0), PeerView { silent, caught_up: it.2 == Well })
+            (NodeId(it.0), PeerView { silent, caught_up: it.2 == Ready })
         });
         let peers = peers.collect();
         let joins = case.joins.iter().map(|it| (address(it.1), NodeId(it.0))).collect();
@@ -118,10 +118,10 @@
             membership: &membership,
             peers: &peers,
             joins: &joins,
-            target_voters: case.wanted,
+            target_voters: case.target,
         };
         let next = next_membership(&view).map(|it| (ids(&it.voters), ids(&it.learners)));
-        let wanted = case.next.map(|it| (it.0.to_vec(), it.1.to_vec()));
-        assert_eq!(next, wanted, "{}", case.name);
+        let expected = case.next.map(|it| (it.0.to_vec(), it.1.to_vec()));
+        assert_eq!(next, expected, "{}", case.name);
     }
 }
--- a/crates/registry/tests/slow_link.rs
+++ b/crates/registry/tests/slow_link.rs
@@ -1,26 +1,27 @@
-//! Plans on their way to an entry whose link is slow beside their size.
+//! The transfer of large plans to an entry on a slow link.
 
 mod env;
 
 use std::time::Duration;
 
-use env::{Env, PATIENCE, put};
+use env::{Env, TIMEOUT, put};
 use registry::{Follower, Member, News};
 use standins::proxy::{Config, Proxy};
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 use types::Version;
 
-/// Links of an entry to members: as many as it follows at once, so that none goes past a proxy.
+/// The number of proxied links from an entry to members: as many as it connects to at once, so that
+/// every connection goes through a proxy.
 const LINKS: usize = 7;
 
-/// How long a proxy holds back each chunk of 16 KiB: some 1.2 MB/s, as a link of 10 Mbit/s.
+/// The delay that a proxy adds to each chunk of 16 KiB: some 1.2 MB/s, like a link of 10 Mbit/s.
 const CHUNK_DELAY: Duration = Duration::from_millis(13);
 
-/// Routes of the plan.
+/// The number of routes in the plan.
 const ROUTES: usize = 4_250;
 
-/// The text of a plan: its version, then a line of some 190 bytes a route.
+/// Returns the text of a plan: its version, then a line of some 190 bytes per route.
 fn plan(version: u64, routes: usize, changed: usize) -> String {
     let route = |it: usize| {
         let service = if it == changed { version } else { 0 };
@@ -30,13 +31,13 @@
 }
 
 /// Members, and slow links to them.
-struct Scene {
+struct Cluster {
     members: Vec<Member<env::TextCodec>>,
     links: Vec<Proxy>,
     env: Env,
 }
 
-/// An entry behind the links.
+/// An entry that reaches the members through the links.
 struct Entry {
     news: watch::Receiver<News>,
     _follower: Follower,
@@ -46,12 +47,12 @@
     /// Waits until the entry has a plan with this version, or a newer one.
     async fn shown(&mut self, version: Version) {
         let known = self.news.wait_for(|it| it.plan.as_ref().is_some_and(|it| it.0 >= version));
-        let known = timeout(PATIENCE, known).await;
+        let known = timeout(TIMEOUT, known).await;
         known.expect("the plan comes").expect("the entry runs");
     }
 }
 
-impl Scene {
+impl Cluster {
     async fn open() -> Self {
         let env = Env::new(3, 1);
         let mut members = Vec::new();
@@ -78,50 +79,47 @@
         put(&all, text).await
     }
 
-    /// Bytes that went over the entry's links.
+    /// Returns the number of bytes that went over the entry's links.
     fn bytes(&self) -> u64 {
         self.links.iter().map(|it| it.counts().forwarded).sum()
     }
 }
 
-/// Routes that a confirmed plan had added were answered as unknown 2.9 s after its confirmation,
-/// and for ten seconds the entries' links carried nothing but plans. An entry that had no text 250 ms
-/// after it asked a member asked the next one as well, and a text of 820 kB takes 660 ms on a link of
-/// 10 Mbit/s: of one version it was sent twelve copies in ten seconds, and a version that moved a
-/// single route waited behind copies of the one before and came whole again. The log of one entry has
-/// 14 lines `a plan arrived` of 822 kB for two versions, 12 of them with `known`.
+/// Guards against links that are saturated with copies of the same plan. When an entry requested a whole
+/// plan from the next member after 250 ms, a text of 820 kB, which takes 660 ms on a link of 10 Mbit/s,
+/// was sent twelve times in ten seconds. A change of a single route was sent as a whole plan again and
+/// waited behind those copies, so routes of a confirmed plan were unknown 2.9 s after its confirmation.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_plan_takes_a_slow_link_once_and_a_small_change_little_of_it() {
-    let scene = Scene::open().await;
-    let mut entry = scene.entry();
+async fn a_plan_crosses_a_slow_link_once_and_a_small_change_takes_few_bytes() {
+    let cluster = Cluster::open().await;
+    let mut entry = cluster.entry();
     let first = plan(1, ROUTES, 0);
-    let version = scene.put(&first).await;
+    let version = cluster.put(&first).await;
     entry.shown(version).await;
     for (number, changed) in [(2, 40), (3, 4_000), (4, 2_000)] {
-        let version = scene.put(&plan(number, ROUTES, changed)).await;
+        let version = cluster.put(&plan(number, ROUTES, changed)).await;
         entry.shown(version).await;
     }
-    let (bytes, text) = (scene.bytes(), first.len() as u64);
+    let (bytes, text) = (cluster.bytes(), first.len() as u64);
     assert!(bytes < 2 * text, "{bytes} bytes for a text of {text} and three small changes");
 }
 
-/// How many changes come, at least 5 ms apart. An entry behind a slow link takes some 200 ms for its
-/// first plan.
+/// The number of changes, at least 5 ms apart. An entry on a slow link takes some 200 ms to get its first
+/// plan.
 const CHANGES: u64 = 200;
 
-/// Symptom looked for: an entry that starts while operators send one change after the other answers
-/// every request with 503 until they pause.
-/// Sequence: by the time a text has arrived, each member holds a newer one.
-/// Cause it would have: only a member that holds nothing newer vouches for the text.
+/// Guards against an entry that starts during a series of changes and answers every request with 503
+/// until they pause. When a text has arrived, each member already holds a newer one, so the entry must
+/// accept a text that is older than the newest.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_amid_changes_has_a_plan_before_they_end() {
-    let scene = Scene::open().await;
-    scene.put(&plan(1, ROUTES, 0)).await;
-    let mut entry = scene.entry();
+async fn an_entry_that_starts_during_changes_has_a_plan_before_they_end() {
+    let cluster = Cluster::open().await;
+    cluster.put(&plan(1, ROUTES, 0)).await;
+    let mut entry = cluster.entry();
     let shown = entry.news.wait_for(|it| it.plan.is_some());
     let changes = async {
         for number in 2..=CHANGES {
-            scene.put(&plan(number, ROUTES, number as usize)).await;
+            cluster.put(&plan(number, ROUTES, number as usize)).await;
             sleep(Duration::from_millis(5)).await;
         }
     };
