--- a/crates/registry/src/follow/state.rs
+++ b/crates/registry/src/follow/state.rs
@@ -154,7 +154,7 @@
     /// Tells every member that this entry is shutting down.
     pub(super) fn leave(&self) {
         for sender in self.links.values().flatten() {
-            // A member that this doesn't reach detects the end of the connection.
+            // A member that doesn't receive this detects the end of the connection.
             let _ = sender.try_send(&ToMember::Leave);
         }
     }
--- a/crates/registry/src/quarantine/table.rs
+++ b/crates/registry/src/quarantine/table.rs
@@ -5,7 +5,7 @@
 //! are in flight at the same terminations: hundreds are lost with a rack, and a stream that continues on
 //! another upstream may be in flight at the next termination too. A request is the cause if it was in
 //! flight at several terminations, each time in a run that began after the previous termination; if none
-//! of its runs record_completion in between; and if no other request explains the same terminations.
+//! of its runs completed in between; and if no other request explains the same terminations.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -15,7 +15,8 @@
 use crate::digest::RequestDigest;
 use crate::message::Stamp;
 
-/// The number of terminations after which a request is held, each in a run that began after the last.
+/// The number of terminations after which a request is held. Each must be in a run that began after the
+/// previous termination.
 const MIN_ENDS: usize = 3;
 
 /// The minimum time between the first and the last of these terminations; if they are closer together,
@@ -23,11 +24,12 @@
 /// first terminations of several harmful ones that are not yet suspected.
 const MIN_SPAN: Duration = Duration::from_secs(1);
 
-/// Any other request must have been in flight at this many fewer of these terminations. The margin is
-/// more than one because a report may be lost.
+/// By how many terminations a request must stand out: any other request was in flight at this many fewer
+/// of them, and no other suspect explains this many. More than one, because a report may be lost.
 const MIN_MARGIN: usize = 2;
 
-/// The number of terminations after which a request is held even if another one was in flight at all.
+/// The number of terminations after which a request is held even if it does not stand out, as when
+/// another request was in flight at the same ones.
 const MIN_ENDS_AMBIGUOUS: usize = 5;
 
 /// The number of terminations after which entries report whether a request completes.
@@ -38,7 +40,7 @@
 const SAME_END_WINDOW: Duration = Duration::from_millis(1_500);
 
 /// The delay between the first report of a termination and the decision on its cause. Meanwhile other
-/// entries report what they had in flight there, and which suspects record_completion.
+/// entries report what they had in flight there, and which suspects completed.
 const DECISION_DELAY: Duration = Duration::from_millis(300);
 
 /// The uncertainty in the order of events that two entries observed: a run that seems to have begun
@@ -72,7 +74,7 @@
 pub enum Decision {
     /// The request is not sent any more; this many upstreams terminated while they ran it.
     Held(RequestDigest, u32),
-    /// An upstream terminated during the trial of a request. Holds the number of its terminations.
+    /// An upstream terminated during the trial of a request; this many have by now.
     TrialFailed(RequestDigest, u32),
     /// An entry may send the request once.
     TrialGranted(RequestDigest, SocketAddr),
@@ -307,11 +309,11 @@
             .collect();
         suspects.sort_unstable_by(|a, b| b.cmp(a));
         let Some(&(most, digest)) = suspects.first() else { return Vec::new() };
-        let is_plain = || {
+        let stands_out = || {
             most >= self.max_shared_ends(digest) + MIN_MARGIN
                 && self.unexplained_ends(digest) >= MIN_MARGIN
         };
-        if most < self.min_ends(digest) || (most < MIN_ENDS_AMBIGUOUS && !is_plain()) {
+        if most < self.min_ends(digest) || (most < MIN_ENDS_AMBIGUOUS && !stands_out()) {
             return Vec::new();
         }
         if self.held.len() >= MAX_LISTED {
--- a/crates/registry/tests/cluster.rs
+++ b/crates/registry/tests/cluster.rs
@@ -95,8 +95,8 @@
     for number in 1..=CHECKED_VERSIONS {
         let acknowledged = put(&all, &format!("{number} plan")).await;
         // Concurrently, since the last members apply it within some ms.
-        let told = env.addresses.iter().map(|it| current_version(env, *it));
-        for (address, version) in env.addresses.iter().zip(join_all(told).await) {
+        let reported = env.addresses.iter().map(|it| current_version(env, *it));
+        for (address, version) in env.addresses.iter().zip(join_all(reported).await) {
             assert!(version >= acknowledged, "{address} reported {version} as current");
         }
     }
--- a/crates/registry/tests/fetch.rs
+++ b/crates/registry/tests/fetch.rs
@@ -54,7 +54,7 @@
     fn sends(&mut self, from: SocketAddr, package: &Package, offset: u32) -> Option<Version> {
         let part = package.part(offset).expect("a part");
         let taken = self.fetch.take_part(from, part, None, &[], self.now);
-        taken.expect("a sound parcel").map(|it| it.0)
+        taken.expect("a valid package").map(|it| it.0)
     }
 }
 
--- a/crates/registry/tests/package.rs
+++ b/crates/registry/tests/package.rs
@@ -93,7 +93,7 @@
         let mut part = Package::pack(&stored_plan(2, b"plan"), None).part(0).expect("a part");
         part.bytes = bytes;
         let partial = PartialPackage::begin(part).expect("the first");
-        // Random bytes have the right checksum only where they are the plan.
+        // Random bytes have the right checksum only if they decode to the plan.
         if let Ok(text) = partial.unpack(b"") {
             prop_assert_eq!(text, b"plan".to_vec());
         }
