--- a/crates/registry/src/driver.rs
+++ b/crates/registry/src/driver.rs
@@ -74,7 +74,7 @@
     Join { node: NodeId, address: SocketAddr, relayed: bool },
     /// An operator's order to replace the plan; answered once it is committed.
     Put(PutPlan, oneshot::Sender<Answer>),
-    /// A linearizable read: it returns everything that was acknowledged before.
+    /// A linearizable read: the plan that it returns is not older than any acknowledged before.
     Read(oneshot::Sender<Answer>),
     /// Asks whether the plan in the view is the newest acknowledged one; answered once a quorum has
     /// confirmed a log index after the question, and the plan of that index is in the view.
@@ -336,7 +336,8 @@
         bytes.and_then(|it| address_of(it)).or_else(|| self.sender_addresses.get(&id).copied())
     }
 
-    /// Starts writes, sends messages, applies committed entries and answers callers until nothing is left.
+    /// Starts writes, sends messages, applies committed entries and answers callers until nothing is
+    /// left to do.
     fn process_ready(&mut self) -> StepResult<()> {
         while self.node.has_work() {
             let mut ready = self.node.ready();
--- a/crates/registry/src/hub.rs
+++ b/crates/registry/src/hub.rs
@@ -211,7 +211,8 @@
                     let current_lists = lists.borrow_and_update().clone();
                     if current_view.leads() {
                         // Sent before the upstreams: without those an entry sends no requests yet.
-                        self.send_quarantine(sender, &mut sent, current_view.term, &current_lists).await?;
+                        self.send_quarantine(sender, &mut sent, current_view.term, &current_lists)
+                            .await?;
                         sent.send_lists(sender, current_view.term, &current_lists).await?;
                         let loads = total_loads.borrow_and_update().clone();
                         sent.send_loads(sender, loads).await?;
--- a/crates/registry/src/peers.rs
+++ b/crates/registry/src/peers.rs
@@ -97,7 +97,8 @@
             Ok(Ok(connection)) => connection,
             Ok(Err(_)) | Err(_) => {
                 if reached {
-                    log::warn!(peer:% = to; "can't connect to a member; messages to it are dropped until it is reached again");
+                    log::warn!(peer:% = to;
+                        "can't connect to a member; messages to it are dropped meanwhile");
                 }
                 reached = false;
                 // The queued messages are out of date by now.
--- a/crates/registry/tests/crowd.rs
+++ b/crates/registry/tests/crowd.rs
@@ -75,7 +75,8 @@
             (sender, receiver, bytes)
         });
     }
-    let joined = timeout(TIMEOUT, joining.join_all()).await.expect("every entry receives the whole list");
+    let joined =
+        timeout(TIMEOUT, joining.join_all()).await.expect("every entry receives the whole list");
     let most = joined.iter().map(|it| it.2).max().expect("some entry");
     assert!(
         most <= MAX_MULTIPLE * MAX_LIST_BYTES,
