--- a/crates/gateway/src/batch/client.rs
+++ b/crates/gateway/src/batch/client.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use rand::seq::IteratorRandom;
-use registry::{News, Relay, RequestDigest};
+use registry::{RegistryState, Relay, RequestDigest};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout_at};
 use wire::{Hello, Secret};
@@ -246,7 +246,7 @@
 
     /// Asks other entries for the registry's news while this one has no member, for as long as the
     /// process lives.
-    pub(crate) async fn ask_around(self: Arc<Self>, news: watch::Receiver<News>) {
+    pub(crate) async fn ask_around(self: Arc<Self>, news: watch::Receiver<RegistryState>) {
         let mut ticks = interval(ASK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
--- a/crates/gateway/src/batch/link.rs
+++ b/crates/gateway/src/batch/link.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use registry::{News, Relay, Stamp};
+use registry::{RegistryState, Relay, Stamp};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 use wire::{Connection, Hello, Kind, Listener, Secret};
@@ -176,7 +176,11 @@
 }
 
 /// Takes other entries' connections.
-pub(crate) async fn accept(mut listener: Listener, owner: Owner, news: watch::Receiver<News>) {
+pub(crate) async fn accept(
+    mut listener: Listener,
+    owner: Owner,
+    news: watch::Receiver<RegistryState>,
+) {
     let mut origin = 0;
     loop {
         match listener.accept().await {
@@ -194,7 +198,12 @@
 }
 
 /// Serves one submitter until its connection ends.
-async fn serve(origin: u64, connection: Connection, owner: Owner, mut news: watch::Receiver<News>) {
+async fn serve(
+    origin: u64,
+    connection: Connection,
+    owner: Owner,
+    mut news: watch::Receiver<RegistryState>,
+) {
     let (sender, mut receiver) = connection.split::<FromOwner, ToOwner>();
     sender.wait_level(LEVEL_PATIENCE).await;
     let (replies, mut answers) = mpsc::unbounded_channel();
@@ -273,8 +282,8 @@
     }
 
     /// The news to pass on, if there are any that the submitter was not told.
-    fn next(&mut self, news: &News) -> Option<Relay> {
-        let newest = (news.seated, news.listed);
+    fn next(&mut self, news: &RegistryState) -> Option<Relay> {
+        let newest = (news.entries_stamp, news.upstreams_stamp);
         if newest == self.told {
             return None;
         }
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use registry::{LoadReport, News, Stamp, UpstreamLoad};
+use registry::{LoadReport, RegistryState, Stamp, UpstreamLoad};
 
 use crate::plan::Plan;
 use crate::section::{self, LinkRate, Section};
@@ -25,8 +25,14 @@
 
 impl Directory {
     /// Makes the next directory; lives that were known before keep their connections and health.
-    pub(crate) fn next(&self, news: &News, plan: &Plan, entries: usize, link: LinkRate) -> Self {
-        let mut next = Self { listed: news.listed, ..Self::default() };
+    pub(crate) fn next(
+        &self,
+        news: &RegistryState,
+        plan: &Plan,
+        entries: usize,
+        link: LinkRate,
+    ) -> Self {
+        let mut next = Self { listed: news.upstreams_stamp, ..Self::default() };
         for it in news.upstreams.iter() {
             let share = share(plan, &it.service, entries);
             let upstream = match self.by_id.get(it.id.as_str()) {
@@ -104,12 +110,12 @@
             tokens: it.tokens(),
         });
         let loads = loads.filter(|it| it.running > 0).collect();
-        LoadReport { listed: self.listed, loads }
+        LoadReport { upstreams_stamp: self.listed, loads }
     }
 
     /// Takes what all entries have under way, less what this one reported of it.
     pub(crate) fn take_digest(&self, digest: &LoadReport, own: &LoadReport) {
-        if digest.listed != self.listed {
+        if digest.upstreams_stamp != self.listed {
             return;
         }
         let find = |all: &[UpstreamLoad], at: u32| {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use registry::{EntrySeen, Follower, FollowerConfig};
+use registry::{EntryInfo, Follower, FollowerConfig};
 use tokio::time::{Instant, sleep};
 use types::{StepResult, VmName};
 use wire::{Hello, Kind, Listener, Secret};
@@ -81,7 +81,7 @@
         let budget = Budget::new(config.budget, Instant::now());
         let metrics = Metrics::open(metrics)?;
         let domain: Arc<str> = config.domain.as_str().into();
-        let entry = EntrySeen {
+        let entry = EntryInfo {
             name: config.vm.to_string(),
             address: config.address,
             domain: config.domain.clone(),
@@ -98,14 +98,14 @@
             Shared::<D>::new(config.address, domain, config.link, (budget, metrics), suspects);
         let shared = Arc::new(shared);
         let owner = Owner::spawn(OwnerConfig { shared: Arc::clone(&shared) });
-        tokio::spawn(accept(listener, owner.clone(), follower.news()));
+        tokio::spawn(accept(listener, owner.clone(), follower.state()));
         let (relays, own) = (follower.relays(), config.address);
         let batches = Batches::new(Arc::clone(&shared), owner, secret, me, own, relays);
         let batches = Arc::new(batches);
-        tokio::spawn(Arc::clone(&batches).ask_around(follower.news()));
+        tokio::spawn(Arc::clone(&batches).ask_around(follower.state()));
         let streams = Arc::new(Streams { shared: Arc::clone(&shared), batches });
-        tokio::spawn(Arc::clone(&shared).follow(follower.news()));
-        let loads = Arc::clone(&shared).share_loads(follower.reports(), follower.digest());
+        tokio::spawn(Arc::clone(&shared).follow(follower.state()));
+        let loads = Arc::clone(&shared).share_loads(follower.reports(), follower.total_loads());
         tokio::spawn(loads);
         tokio::spawn(front::serve(callers, Arc::clone(&shared), streams));
         tokio::spawn(front::serve_ready(balancer, Arc::clone(&shared)));
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use registry::{EntrySeen, LoadReport, News, Stamp, loads_period};
+use registry::{EntryInfo, LoadReport, RegistryState, Stamp, loads_period};
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until, timeout};
 
@@ -40,7 +40,7 @@
 pub(crate) struct Shared<D> {
     plan: ArcSwapOption<Plan>,
     directory: ArcSwap<Directory>,
-    peers: ArcSwap<Vec<EntrySeen>>,
+    peers: ArcSwap<Vec<EntryInfo>>,
     entries: AtomicUsize,
     /// Whether it was told which other entries there are.
     seated: AtomicBool,
@@ -138,7 +138,7 @@
     }
 
     /// The other entries.
-    pub(crate) fn peers(&self) -> Arc<Vec<EntrySeen>> {
+    pub(crate) fn peers(&self) -> Arc<Vec<EntryInfo>> {
         self.peers.load_full()
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// Takes the registry's news for as long as they come.
-    pub(crate) async fn follow(self: Arc<Self>, mut news: watch::Receiver<News>) {
+    pub(crate) async fn follow(self: Arc<Self>, mut news: watch::Receiver<RegistryState>) {
         let mut sweep = interval(SWEEP);
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -212,17 +212,17 @@
         }
     }
 
-    fn take(&self, news: &News) {
+    fn take(&self, news: &RegistryState) {
         let others = news.entries.iter().filter(|it| it.address != self.own).cloned();
-        let others: Vec<EntrySeen> = others.collect();
+        let others: Vec<EntryInfo> = others.collect();
         let listed = others.len() < news.entries.len();
         if self.listed.swap(listed, Ordering::Relaxed) != listed {
-            log::info!(listed, others = others.len(), seated:% = news.seated;
+            log::info!(listed, others = others.len(), seated:% = news.entries_stamp;
                 "other entries count this one or not");
         }
         self.entries.fetch_max(others.len() + 1, Ordering::Relaxed);
         self.peers.store(Arc::new(others));
-        if news.seated > Stamp::default() {
+        if news.entries_stamp > Stamp::default() {
             self.seated.store(true, Ordering::Relaxed);
         }
         if let Some((version, text)) = &news.plan {
--- a/crates/gateway/src/shared/tests.rs
+++ b/crates/gateway/src/shared/tests.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode};
-use registry::quarantine::Known;
+use registry::quarantine::QuarantineView;
 use registry::{Health, Upstream};
 use types::Version;
 
@@ -58,7 +58,7 @@
 
 fn shared() -> Shared<Mute> {
     let own = SocketAddr::from(([127, 0, 0, 1], 1));
-    let (_, known) = watch::channel(Arc::new(Known::default()));
+    let (_, known) = watch::channel(Arc::new(QuarantineView::default()));
     let (evidence, _) = mpsc::channel(1);
     let spec = BudgetSpec { ratio: 0.2, window: Duration::from_secs(10), burst: 1.0 };
     let budget = Budget::new(spec, Instant::now());
@@ -90,7 +90,7 @@
 #[test]
 fn an_entry_is_ready_once_it_knows_all_that_it_needs() {
     for case in CASES {
-        let mut news = News::default();
+        let mut news = RegistryState::default();
         let stamp = Stamp { term: 1, count: 1 };
         if case.plan {
             news.plan = Some((Version(1), Arc::default()));
@@ -105,10 +105,10 @@
                 slots: 1,
                 health: Health::Ready,
             };
-            (news.listed, news.upstreams) = (stamp, Arc::new(vec![upstream]));
+            (news.upstreams_stamp, news.upstreams) = (stamp, Arc::new(vec![upstream]));
         }
         if case.entries {
-            news.seated = stamp;
+            news.entries_stamp = stamp;
         }
         let shared = shared();
         shared.take(&news);
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use registry::RequestDigest;
-use registry::quarantine::{EndSeen, Evidence, Known, RunSeen, Standing};
+use registry::quarantine::{Admission, EndSeen, Evidence, QuarantineView, RunSeen};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, timeout};
@@ -53,7 +53,7 @@
 /// What an entry knows and saw.
 #[derive(Debug)]
 pub(crate) struct Suspects {
-    known: watch::Receiver<Arc<Known>>,
+    known: watch::Receiver<Arc<QuarantineView>>,
     evidence: mpsc::Sender<Evidence>,
     own: SocketAddr,
     start: Instant,
@@ -65,7 +65,7 @@
 
 impl Suspects {
     pub(crate) fn new(
-        known: watch::Receiver<Arc<Known>>,
+        known: watch::Receiver<Arc<QuarantineView>>,
         evidence: mpsc::Sender<Evidence>,
         own: SocketAddr,
     ) -> Self {
@@ -84,30 +84,30 @@
         if known.is_empty() || request.is_trial() {
             return Ok(());
         }
-        match known.standing(&request.digest(), Instant::now().into_std()) {
-            Standing::Free | Standing::Watched => Ok(()),
-            Standing::Held(after) => Err(NotSent { after }),
-            Standing::Due => Err(NotSent { after: LEAVE }),
+        match known.admission(&request.digest(), Instant::now().into_std()) {
+            Admission::Allowed | Admission::Watched => Ok(()),
+            Admission::Held(after) => Err(NotSent { after }),
+            Admission::TrialDue => Err(NotSent { after: LEAVE }),
         }
     }
 
     /// Whether a request is not sent to upstreams now.
     pub(crate) fn is_held(&self, digest: &RequestDigest) -> bool {
         let known = self.known.borrow();
-        matches!(self.standing(&known, digest), Standing::Held(_))
+        matches!(self.standing(&known, digest), Admission::Held(_))
     }
 
     /// Whether upstreams ended under a request, so that what is sent with it may be lost.
     pub(crate) fn is_suspected(&self, digest: &RequestDigest) -> bool {
         let known = self.known.borrow();
-        self.standing(&known, digest) != Standing::Free
+        self.standing(&known, digest) != Admission::Allowed
     }
 
-    fn standing(&self, known: &Known, digest: &RequestDigest) -> Standing {
+    fn standing(&self, known: &QuarantineView, digest: &RequestDigest) -> Admission {
         if known.is_empty() {
-            return Standing::Free;
+            return Admission::Allowed;
         }
-        known.standing(digest, Instant::now().into_std())
+        known.admission(digest, Instant::now().into_std())
     }
 
     /// Decides about a request that has come; one whose time on the list is over may become a trial.
@@ -117,12 +117,12 @@
             if known.is_empty() {
                 return Ok(());
             }
-            known.standing(&request.digest(), Instant::now().into_std())
+            known.admission(&request.digest(), Instant::now().into_std())
         };
         match standing {
-            Standing::Free | Standing::Watched => Ok(()),
-            Standing::Held(after) => Err(NotSent { after }),
-            Standing::Due => self.try_once(request).await,
+            Admission::Allowed | Admission::Watched => Ok(()),
+            Admission::Held(after) => Err(NotSent { after }),
+            Admission::TrialDue => self.try_once(request).await,
         }
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Uses the trial that the leader granted to this entry, if no request has used it yet.
-    fn uses_trial(&self, known: &Known, digest: &RequestDigest) -> bool {
+    fn uses_trial(&self, known: &QuarantineView, digest: &RequestDigest) -> bool {
         let Some(number) = known.trial(digest, self.own) else { return false };
         let mut trials = lock(&self.trials);
         if trials.get(digest).is_some_and(|it| *it >= number) {
@@ -161,7 +161,7 @@
                 return;
             }
             let digest = request.digest();
-            if known.standing(&digest, Instant::now().into_std()) == Standing::Free {
+            if known.admission(&digest, Instant::now().into_std()) == Admission::Allowed {
                 return;
             }
             digest
--- a/crates/registry/src/difference.rs
+++ b/crates/registry/src/difference.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::message::{EntrySeen, Stamp, Upstream};
+use crate::message::{EntryInfo, Stamp, Upstream};
 
 /// An element of a list that has a key. Lists are ordered by key.
 pub trait Listed: Clone + PartialEq {
@@ -20,7 +20,7 @@
     fn key(&self) -> Self::Key;
 }
 
-impl Listed for EntrySeen {
+impl Listed for EntryInfo {
     type Key = std::net::SocketAddr;
 
     fn key(&self) -> Self::Key {
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -19,8 +19,8 @@
 
 use self::state::State;
 use crate::fetch::Fetch;
-use crate::message::{EntrySeen, LoadReport, Relay, Stamp, Upstream, UpstreamList};
-use crate::quarantine::{Evidence, EvidenceBuffer, Known};
+use crate::message::{EntryInfo, LoadReport, Relay, Stamp, Upstream, UpstreamList};
+use crate::quarantine::{Evidence, EvidenceBuffer, QuarantineView};
 
 /// The interval at which missing members are connected to and unsent evidence is sent.
 const TICK_PERIOD: Duration = Duration::from_millis(100);
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct FollowerConfig {
     /// How the entry describes itself to members.
-    pub entry: EntrySeen,
+    pub entry: EntryInfo,
     /// The VM of the entry.
     pub vm: VmName,
     /// The addresses of members at the time when the settings were written.
@@ -41,38 +41,39 @@
 
 /// The data that an entry received from the registry.
 #[derive(Clone, Debug, Default)]
-pub struct News {
+pub struct RegistryState {
     /// The newest plan. Set once a quorum has confirmed that no plan was newer when the entry started.
     pub plan: Option<(Version, Arc<Vec<u8>>)>,
     /// The newest list of upstreams.
     pub upstreams: Arc<Vec<Upstream>>,
     /// The number of the list of upstreams.
-    pub listed: Stamp,
+    pub upstreams_stamp: Stamp,
     /// The connected entries.
-    pub entries: Arc<Vec<EntrySeen>>,
+    pub entries: Arc<Vec<EntryInfo>>,
     /// The number of the list of entries.
-    pub seated: Stamp,
+    pub entries_stamp: Stamp,
     /// The number of connected members.
     pub members: usize,
 }
 
-impl News {
+impl RegistryState {
     /// Returns the lists to forward to an entry that has no connection to the registry.
     pub fn relay(&self) -> Relay {
-        let upstreams = UpstreamList { stamp: self.listed, upstreams: self.upstreams.to_vec() };
-        Relay { seated: self.seated, entries: self.entries.to_vec(), upstreams }
+        let upstreams =
+            UpstreamList { stamp: self.upstreams_stamp, upstreams: self.upstreams.to_vec() };
+        Relay { entries_stamp: self.entries_stamp, entries: self.entries.to_vec(), upstreams }
     }
 }
 
 /// A running task that receives updates from the registry.
 pub struct Follower {
-    news: watch::Receiver<News>,
+    state: watch::Receiver<RegistryState>,
     seeds: Arc<Mutex<Vec<SocketAddr>>>,
     leaving: watch::Sender<bool>,
-    digest: watch::Receiver<Arc<LoadReport>>,
+    total_loads: watch::Receiver<Arc<LoadReport>>,
     reports: mpsc::Sender<LoadReport>,
     relays: mpsc::Sender<Relay>,
-    quarantine: watch::Receiver<Arc<Known>>,
+    quarantine: watch::Receiver<Arc<QuarantineView>>,
     evidence: mpsc::Sender<Evidence>,
     _task: JoinHandle<()>,
 }
@@ -80,28 +81,38 @@
 impl Follower {
     /// Starts the task.
     pub fn spawn(config: FollowerConfig, secret: Secret) -> Self {
-        let (sender, news) = watch::channel(News::default());
+        let (published, state) = watch::channel(RegistryState::default());
         let seeds = Arc::new(Mutex::new(config.seeds.clone()));
         let (leaving, leave_requested) = watch::channel(false);
-        let (loads, digest) = watch::channel(Arc::default());
+        let (loads, total_loads) = watch::channel(Arc::default());
         let (reports, reported) = mpsc::channel(2);
         let (relays, relayed) = mpsc::channel(2);
         let (known, quarantine) = watch::channel(Arc::default());
         let (evidence, collected) = mpsc::channel(MAX_QUEUED_EVIDENCE);
         let channels =
-            Channels { news: sender, loads, known, leave_requested, reported, relayed, collected };
+            Channels { published, loads, known, leave_requested, reported, relayed, collected };
         let task = tokio::spawn(run(config, secret, channels, Arc::clone(&seeds)));
-        Self { news, seeds, leaving, digest, reports, relays, quarantine, evidence, _task: task }
+        Self {
+            state,
+            seeds,
+            leaving,
+            total_loads,
+            reports,
+            relays,
+            quarantine,
+            evidence,
+            _task: task,
+        }
     }
 
     /// Returns the receiver of the registry's data.
-    pub fn news(&self) -> watch::Receiver<News> {
-        self.news.clone()
+    pub fn state(&self) -> watch::Receiver<RegistryState> {
+        self.state.clone()
     }
 
     /// Returns the receiver of the sum of all entries' loads.
-    pub fn digest(&self) -> watch::Receiver<Arc<LoadReport>> {
-        self.digest.clone()
+    pub fn total_loads(&self) -> watch::Receiver<Arc<LoadReport>> {
+        self.total_loads.clone()
     }
 
     /// Returns the sender for reports of this entry's loads.
@@ -115,7 +126,7 @@
     }
 
     /// Returns the receiver of the view of held requests.
-    pub fn quarantine(&self) -> watch::Receiver<Arc<Known>> {
+    pub fn quarantine(&self) -> watch::Receiver<Arc<QuarantineView>> {
         self.quarantine.clone()
     }
 
@@ -137,9 +148,9 @@
 
 /// The channel ends that the loop owns.
 struct Channels {
-    news: watch::Sender<News>,
+    published: watch::Sender<RegistryState>,
     loads: watch::Sender<Arc<LoadReport>>,
-    known: watch::Sender<Arc<Known>>,
+    known: watch::Sender<Arc<QuarantineView>>,
     leave_requested: watch::Receiver<bool>,
     reported: mpsc::Receiver<LoadReport>,
     relayed: mpsc::Receiver<Relay>,
@@ -153,7 +164,7 @@
     seeds: Arc<Mutex<Vec<SocketAddr>>>,
 ) {
     let Channels {
-        news,
+        published,
         loads,
         known,
         mut leave_requested,
@@ -169,7 +180,7 @@
         secret,
         me,
         events,
-        news,
+        published,
         loads,
         known,
         seeds,
--- a/crates/registry/src/follow/link.rs
+++ b/crates/registry/src/follow/link.rs
@@ -7,7 +7,7 @@
 use tokio::time::{sleep, timeout};
 use wire::{Hello, Kind, Secret, Sender};
 
-use crate::message::{EntrySeen, ToEntry, ToMember};
+use crate::message::{EntryInfo, ToEntry, ToMember};
 
 /// The pause before a new attempt to connect to an unreachable member.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
@@ -29,7 +29,7 @@
     address: SocketAddr,
     secret: Secret,
     me: Hello,
-    entry: EntrySeen,
+    entry: EntryInfo,
     events: mpsc::Sender<Event>,
 ) {
     let connecting =
--- a/crates/registry/src/follow/state.rs
+++ b/crates/registry/src/follow/state.rs
@@ -10,15 +10,15 @@
 use wire::{Hello, Secret, Sender};
 
 use super::link::{Event, link};
-use super::{FollowerConfig, News};
+use super::{FollowerConfig, RegistryState};
 use crate::difference::NumberedList;
 use crate::fetch::Fetch;
 use crate::message::{
-    EntrySeen, LoadReport, QUARANTINE_LEVEL, Relay, Stamp, ToEntry, ToMember, Upstream,
+    EntryInfo, LoadReport, QUARANTINE_LEVEL, Relay, Stamp, ToEntry, ToMember, Upstream,
     UpstreamList,
 };
 use crate::package::Part;
-use crate::quarantine::{Evidence, EvidenceBuffer, Known, QuarantineList};
+use crate::quarantine::{Evidence, EvidenceBuffer, QuarantineList, QuarantineView};
 
 /// The maximum number of members that are connected to at once.
 const MAX_MEMBERS: usize = 7;
@@ -29,9 +29,9 @@
     pub(super) secret: Secret,
     pub(super) me: Hello,
     pub(super) events: mpsc::Sender<Event>,
-    pub(super) news: watch::Sender<News>,
+    pub(super) published: watch::Sender<RegistryState>,
     pub(super) loads: watch::Sender<Arc<LoadReport>>,
-    pub(super) known: watch::Sender<Arc<Known>>,
+    pub(super) known: watch::Sender<Arc<QuarantineView>>,
     pub(super) seeds: Arc<Mutex<Vec<SocketAddr>>>,
     pub(super) links: HashMap<SocketAddr, Option<Sender<ToMember>>>,
     pub(super) members: Vec<SocketAddr>,
@@ -53,7 +53,7 @@
 /// The last lists that a member sent.
 #[derive(Default)]
 pub(super) struct MemberLists {
-    entries: NumberedList<EntrySeen>,
+    entries: NumberedList<EntryInfo>,
     upstreams: NumberedList<Upstream>,
 }
 
@@ -142,7 +142,7 @@
     }
 
     fn handle_quarantine(&self, from: SocketAddr, list: &QuarantineList) {
-        let mut known = Known::clone(&self.known.borrow());
+        let mut known = QuarantineView::clone(&self.known.borrow());
         if !known.update(list, Instant::now()) {
             return;
         }
@@ -161,7 +161,7 @@
 
     fn update_count(&self) {
         let members = self.links.values().flatten().count();
-        self.news.send_modify(|it| it.members = members);
+        self.published.send_modify(|it| it.members = members);
     }
 
     fn handle_message(&mut self, from: SocketAddr, message: ToEntry) {
@@ -245,36 +245,36 @@
 
     /// Takes lists that another entry forwarded. Loads still go to the last known leader, if any.
     pub(super) fn take_relay(&self, relay: Relay) {
-        let (seated, listed) = (relay.seated, relay.upstreams.stamp);
+        let (entries_stamp, upstreams_stamp) = (relay.entries_stamp, relay.upstreams.stamp);
         let is_newer = {
-            let news = self.news.borrow();
-            seated > news.seated || listed > news.listed
+            let state = self.published.borrow();
+            entries_stamp > state.entries_stamp || upstreams_stamp > state.upstreams_stamp
         };
         if is_newer {
-            log::info!(seated:% = seated, listed:% = listed, entries = relay.entries.len();
+            log::info!(seated:% = entries_stamp, listed:% = upstreams_stamp, entries = relay.entries.len();
                 "received newer lists from another entry");
         }
-        self.set_entries(relay.seated, relay.entries);
+        self.set_entries(relay.entries_stamp, relay.entries);
         self.set_upstreams(relay.upstreams);
     }
 
-    fn set_entries(&self, stamp: Stamp, entries: Vec<EntrySeen>) {
-        self.news.send_if_modified(|news| {
-            let newer = stamp > news.seated;
+    fn set_entries(&self, stamp: Stamp, entries: Vec<EntryInfo>) {
+        self.published.send_if_modified(|state| {
+            let newer = stamp > state.entries_stamp;
             if newer {
-                news.seated = stamp;
-                news.entries = Arc::new(entries);
+                state.entries_stamp = stamp;
+                state.entries = Arc::new(entries);
             }
             newer
         });
     }
 
     fn handle_upstreams(&mut self, from: SocketAddr, list: UpstreamList) {
-        let listed = self.news.borrow().listed;
-        if list.stamp < listed {
+        let stamp = self.published.borrow().upstreams_stamp;
+        if list.stamp < stamp {
             return self.set_upstreams(list);
         }
-        let is_new = list.stamp.term > listed.term;
+        let is_new = list.stamp.term > stamp.term;
         if self.leader.replace(from) != Some(from) || is_new {
             // A new leader does not know the decisions of the previous one.
             let held = self.known.borrow().held(Instant::now());
@@ -289,11 +289,11 @@
     }
 
     fn set_upstreams(&self, list: UpstreamList) {
-        self.news.send_if_modified(|news| {
-            let newer = list.stamp > news.listed;
+        self.published.send_if_modified(|state| {
+            let newer = list.stamp > state.upstreams_stamp;
             if newer {
-                news.listed = list.stamp;
-                news.upstreams = Arc::new(list.upstreams);
+                state.upstreams_stamp = list.stamp;
+                state.upstreams = Arc::new(list.upstreams);
             }
             newer
         });
@@ -307,10 +307,10 @@
         if self.min_version.is_none_or(|it| it > *version) {
             return;
         }
-        self.news.send_if_modified(|news| {
-            let newer = news.plan.as_ref().is_none_or(|(it, _)| it < version);
+        self.published.send_if_modified(|state| {
+            let newer = state.plan.as_ref().is_none_or(|(it, _)| it < version);
             if newer {
-                news.plan = Some((*version, Arc::clone(text)));
+                state.plan = Some((*version, Arc::clone(text)));
             }
             newer
         });
--- a/crates/registry/src/hub.rs
+++ b/crates/registry/src/hub.rs
@@ -16,7 +16,7 @@
 use crate::lists::{EncodedLoads, Published};
 use crate::member::Confirmer;
 use crate::message::{
-    EntrySeen, LoadReport, Stamp, ToEntry, ToMember, Upstream, UpstreamList, UpstreamLoad,
+    EntryInfo, LoadReport, Stamp, ToEntry, ToMember, Upstream, UpstreamList, UpstreamLoad,
 };
 use crate::package_cache::PackageCache;
 use crate::quarantine::Quarantine;
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, Default)]
 struct ListSet {
     upstreams: Published<Upstream>,
-    entries: Published<EntrySeen>,
+    entries: Published<EntryInfo>,
     /// The number of the list of held requests. The list itself is made anew for each message, since it
     /// holds remaining times.
     quarantine: Stamp,
@@ -59,7 +59,7 @@
 /// The entries that are connected to this member.
 pub(crate) struct Hub {
     lists: watch::Sender<ListSet>,
-    connected: Mutex<HashMap<u64, EntrySeen>>,
+    connected: Mutex<HashMap<u64, EntryInfo>>,
     /// Notified when an entry connected or disconnected.
     entries_changed: Notify,
     loads: Mutex<HashMap<u64, LoadReport>>,
@@ -123,8 +123,8 @@
         loop {
             let count = self.lists.borrow().upstreams.numbered.list.len();
             sleep(loads_period(count)).await;
-            let listed = self.lists.borrow().upstreams.numbered.stamp;
-            let report = LoadReport { listed, loads: self.sum(listed) };
+            let stamp = self.lists.borrow().upstreams.numbered.stamp;
+            let report = LoadReport { upstreams_stamp: stamp, loads: self.sum(stamp) };
             if self.total_loads.borrow().as_ref().is_some_and(|it| it.report == report) {
                 continue;
             }
@@ -136,11 +136,13 @@
         }
     }
 
-    /// Sums the reports whose positions refer to the list `listed`.
-    fn sum(&self, listed: Stamp) -> Vec<UpstreamLoad> {
+    /// Sums the reports whose positions refer to the list numbered `stamp`.
+    fn sum(&self, stamp: Stamp) -> Vec<UpstreamLoad> {
         let reports = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
         let mut sums: BTreeMap<u32, UpstreamLoad> = BTreeMap::new();
-        for load in reports.values().filter(|it| it.listed == listed).flat_map(|it| &it.loads) {
+        for load in
+            reports.values().filter(|it| it.upstreams_stamp == stamp).flat_map(|it| &it.loads)
+        {
             let sum = sums.entry(load.position).or_default();
             sum.position = load.position;
             sum.running += load.running;
@@ -149,7 +151,7 @@
         sums.into_values().collect()
     }
 
-    fn add_entry(&self, incarnation: u64, entry: EntrySeen) {
+    fn add_entry(&self, incarnation: u64, entry: EntryInfo) {
         log::info!(entry = entry.name.as_str(), address:% = entry.address; "an entry connected");
         self.connected.lock().unwrap_or_else(PoisonError::into_inner).insert(incarnation, entry);
         self.entries_changed.notify_one();
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -27,11 +27,11 @@
 
 pub use current::CurrentView;
 pub use digest::RequestDigest;
-pub use follow::{Follower, FollowerConfig, News};
+pub use follow::{Follower, FollowerConfig, RegistryState};
 pub use hub::loads_period;
-pub use member::{Codec, Member, MemberConfig, PutOutcome, QuarantineOutcome, ReadOutcome};
+pub use member::{Member, MemberConfig, PlanValidator, PutOutcome, QuarantineOutcome, ReadOutcome};
 pub use message::{
-    EntrySeen, Health, LoadReport, Relay, Stamp, Upstream, UpstreamList, UpstreamLoad,
+    EntryInfo, Health, LoadReport, Relay, Stamp, Upstream, UpstreamList, UpstreamLoad,
 };
 pub use reader::{ListSource, Listing};
 pub use repair::{LEARNER_TIMEOUT, PeerView, RepairView, VOTER_TIMEOUT, next_membership};
--- a/crates/registry/src/lists.rs
+++ b/crates/registry/src/lists.rs
@@ -7,7 +7,7 @@
 
 use crate::difference::{Listed, NumberedList};
 use crate::message::{
-    DIFFERENCES_LEVEL, EntrySeen, LoadReport, Stamp, ToEntry, Upstream, UpstreamList,
+    DIFFERENCES_LEVEL, EntryInfo, LoadReport, Stamp, ToEntry, Upstream, UpstreamList,
 };
 
 /// A list, encoded whole and as the difference from the previous one.
@@ -79,7 +79,7 @@
     fn difference_message(&self, next: &Self) -> ToEntry;
 }
 
-impl ListMessages for NumberedList<EntrySeen> {
+impl ListMessages for NumberedList<EntryInfo> {
     fn whole_message(&self) -> ToEntry {
         ToEntry::Entries(self.stamp, self.list.clone())
     }
--- a/crates/registry/src/member.rs
+++ b/crates/registry/src/member.rs
@@ -38,7 +38,7 @@
 const RESIGN_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Validates the plans that operators send. It does not decide which plan is stored.
-pub trait Codec: Send + Sync + 'static {
+pub trait PlanValidator: Send + Sync + 'static {
     /// Checks a plan and returns its version.
     ///
     /// # Errors
@@ -60,7 +60,7 @@
     /// Whether the whole system starts for the first time; the first seed then starts a new cluster.
     pub bootstrap: bool,
     /// The number of members that may be lost at once, with their disks.
-    pub losses: usize,
+    pub max_losses: usize,
 }
 
 /// The answer to an operator's order.
@@ -71,7 +71,7 @@
     /// The plan is invalid, for this reason.
     Invalid(String),
     /// Another member leads.
-    Elsewhere(SocketAddr),
+    NotLeader(SocketAddr),
     /// No quorum answers, or the cluster has too few voters yet.
     Unavailable,
 }
@@ -82,7 +82,7 @@
     /// The newest plan, confirmed by a quorum.
     Plan(Version, Arc<StoredPlan>),
     /// Another member leads.
-    Elsewhere(SocketAddr),
+    NotLeader(SocketAddr),
     /// No quorum answers, or there is no plan yet.
     Unavailable,
 }
@@ -93,14 +93,14 @@
     /// The leader's answer.
     Known(T),
     /// Another member leads.
-    Elsewhere(SocketAddr),
+    NotLeader(SocketAddr),
     /// No leader is known.
     Unavailable,
 }
 
 /// A running member.
 pub struct Member<C> {
-    codec: C,
+    validator: C,
     inputs: mpsc::SyncSender<Input>,
     view: watch::Receiver<View>,
     peers: Arc<Peers>,
@@ -108,14 +108,14 @@
     address: SocketAddr,
 }
 
-impl<C: Codec> Member<C> {
+impl<C: PlanValidator> Member<C> {
     /// Starts a member.
     ///
     /// # Errors
     /// Fails if its address can't be bound or its thread can't be started.
     pub async fn spawn<L: ListSource>(
         config: MemberConfig,
-        codec: C,
+        validator: C,
         list: L,
         secret: Secret,
     ) -> StepResult<Self> {
@@ -130,7 +130,7 @@
             data_dir: config.data_dir,
             address,
             bootstraps,
-            max_losses: config.losses,
+            max_losses: config.max_losses,
         };
         let driver_peers = Arc::clone(&peers);
         let waker = inputs.clone();
@@ -145,7 +145,7 @@
         tokio::spawn(Arc::clone(&hub).publish_entries(view.clone()));
         tokio::spawn(Arc::clone(&hub).decide_ends(view.clone()));
         tokio::spawn(reader::run(list, Arc::clone(&hub), view.clone()));
-        Ok(Self { codec, inputs, view, peers, hub, address })
+        Ok(Self { validator, inputs, view, peers, hub, address })
     }
 
     /// Replaces the seed addresses, after the settings changed.
@@ -156,14 +156,14 @@
     /// Stores a plan, if its version is higher than the stored one.
     pub async fn put(&self, text: Vec<u8>) -> PutOutcome {
         // Checked before versions are compared, so that an invalid plan is rejected whatever its version.
-        let version = match self.codec.check(&text) {
+        let version = match self.validator.check(&text) {
             Ok(version) => version,
             Err(why) => return PutOutcome::Invalid(why),
         };
         let put = PutPlan { version, text };
         match self.ask_driver(|reply| Input::Put(put.clone(), reply)).await {
             Some(Answer::Plan(held)) => PutOutcome::Accepted(held.version),
-            Some(Answer::NotLeader(Some(leader))) => PutOutcome::Elsewhere(leader),
+            Some(Answer::NotLeader(Some(leader))) => PutOutcome::NotLeader(leader),
             Some(Answer::NotLeader(None) | Answer::TooFewVoters) | None => PutOutcome::Unavailable,
         }
     }
@@ -174,13 +174,13 @@
             Some(Answer::Plan(held)) if held.version > Version(0) => {
                 ReadOutcome::Plan(held.version, held)
             }
-            Some(Answer::NotLeader(Some(leader))) => ReadOutcome::Elsewhere(leader),
+            Some(Answer::NotLeader(Some(leader))) => ReadOutcome::NotLeader(leader),
             Some(_) | None => ReadOutcome::Unavailable,
         }
     }
 
     /// Returns the requests that are held.
-    pub fn held(&self) -> QuarantineOutcome<Vec<quarantine::Held>> {
+    pub fn held_requests(&self) -> QuarantineOutcome<Vec<quarantine::Held>> {
         self.as_leader(|term| self.hub.held(term))
     }
 
@@ -196,7 +196,7 @@
         };
         match leader {
             _ if leads => QuarantineOutcome::Known(act(term)),
-            Some(leader) if leader != self.address => QuarantineOutcome::Elsewhere(leader),
+            Some(leader) if leader != self.address => QuarantineOutcome::NotLeader(leader),
             _ => QuarantineOutcome::Unavailable,
         }
     }
--- a/crates/registry/src/message.rs
+++ b/crates/registry/src/message.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToMember {
     /// The entry's first message.
-    Hello(EntrySeen),
+    Hello(EntryInfo),
     /// The entry is shutting down and must be removed from the list of entries.
     Leave,
     /// The load that the entry has in flight at each upstream.
@@ -101,7 +101,7 @@
     /// The upstreams, from the leader.
     Upstreams(UpstreamList),
     /// The connected entries, from the leader.
-    Entries(Stamp, Vec<EntrySeen>),
+    Entries(Stamp, Vec<EntryInfo>),
     /// The sum of the loads that all entries have in flight at upstreams, from the leader.
     Loads(LoadReport),
     /// The members that an entry may connect to.
@@ -109,7 +109,7 @@
     /// A part of a plan.
     Part(Part),
     /// The difference between the connected entries and the list that the leader sent last.
-    EntriesChanged(Difference<EntrySeen, SocketAddr>),
+    EntriesChanged(Difference<EntryInfo, SocketAddr>),
     /// The difference between the upstreams and the list that the leader sent last.
     UpstreamsChanged(Difference<Upstream, String>),
     /// The requests that entries must not send, from the leader.
@@ -139,7 +139,7 @@
 
 /// An entry, as it describes itself when it connects.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntrySeen {
+pub struct EntryInfo {
     /// The name of its VM.
     pub name: String,
     /// The address at which other entries reach it.
@@ -161,9 +161,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Relay {
     /// The number of the list of entries.
-    pub seated: Stamp,
+    pub entries_stamp: Stamp,
     /// The connected entries.
-    pub entries: Vec<EntrySeen>,
+    pub entries: Vec<EntryInfo>,
     /// The upstreams.
     pub upstreams: UpstreamList,
 }
@@ -198,7 +198,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The number of the list of upstreams that the positions refer to.
-    pub listed: Stamp,
+    pub upstreams_stamp: Stamp,
     /// The loads.
     pub loads: Vec<UpstreamLoad>,
 }
--- a/crates/registry/src/quarantine.rs
+++ b/crates/registry/src/quarantine.rs
@@ -15,7 +15,7 @@
 
 pub use self::evidence::EvidenceBuffer;
 pub use self::table::{Decision, Quarantine};
-pub use self::view::{Known, Standing};
+pub use self::view::{Admission, QuarantineView};
 use crate::digest::RequestDigest;
 use crate::message::Stamp;
 
--- a/crates/registry/src/quarantine/view.rs
+++ b/crates/registry/src/quarantine/view.rs
@@ -14,20 +14,20 @@
 
 /// How an entry handles a request that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Admission {
     /// It is sent like any other.
-    Free,
+    Allowed,
     /// It is sent, and the entry reports to the leader when it completes.
     Watched,
     /// It is not sent for this long.
     Held(Duration),
     /// It may be sent once, if the leader permits it.
-    Due,
+    TrialDue,
 }
 
 /// The lists that an entry received last.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct QuarantineView {
     stamp: Stamp,
     held: HashMap<RequestDigest, (Held, Instant)>,
     watched: HashSet<RequestDigest>,
@@ -37,7 +37,7 @@
     handover: Option<Instant>,
 }
 
-impl Known {
+impl QuarantineView {
     /// Replaces the list; returns `false` if `list` is not newer than the current one.
     pub fn update(&mut self, list: &QuarantineList, now: Instant) -> bool {
         if list.stamp <= self.stamp {
@@ -67,14 +67,14 @@
     }
 
     /// Returns how a request is handled at `now`.
-    pub fn standing(&self, digest: &RequestDigest, now: Instant) -> Standing {
+    pub fn admission(&self, digest: &RequestDigest, now: Instant) -> Admission {
         match self.find(digest, now) {
             Some((held, received)) => match held.left(now.saturating_duration_since(*received)) {
-                Duration::ZERO => Standing::Due,
-                left => Standing::Held(left),
+                Duration::ZERO => Admission::TrialDue,
+                left => Admission::Held(left),
             },
-            None if self.watched.contains(digest) => Standing::Watched,
-            None => Standing::Free,
+            None if self.watched.contains(digest) => Admission::Watched,
+            None => Admission::Allowed,
         }
     }
 
--- a/crates/registry/tests/cluster.rs
+++ b/crates/registry/tests/cluster.rs
@@ -7,7 +7,7 @@
 use env::{Env, TIMEOUT, put, read};
 use futures_util::future::join_all;
 use registry::message::{ToEntry, ToMember};
-use registry::{EntrySeen, PutOutcome, Relay, Stamp, UpstreamList};
+use registry::{EntryInfo, PutOutcome, Relay, Stamp, UpstreamList};
 use tokio::time::timeout;
 use types::Version;
 use wire::Receiver;
@@ -66,12 +66,12 @@
     put(&all, "1 old").await;
     put(&all, "2 new").await;
     let follower = env.follower();
-    let mut news = follower.news();
-    let whole = news.wait_for(|it| it.plan.is_some() && !it.upstreams.is_empty());
-    let news = whole.await.expect("the follower lives").clone();
-    let (version, text) = news.plan.expect("a plan");
+    let mut state = follower.state();
+    let complete = state.wait_for(|it| it.plan.is_some() && !it.upstreams.is_empty());
+    let state = complete.await.expect("the follower lives").clone();
+    let (version, text) = state.plan.expect("a plan");
     assert_eq!((version, text.as_slice()), (Version(2), b"2 new".as_slice()));
-    let mut later = follower.news();
+    let mut later = follower.state();
     put(&all, "9 newest").await;
     let newer = later.wait_for(|it| it.plan.as_ref().is_some_and(|it| it.0 == Version(9)));
     assert!(newer.await.is_ok());
@@ -188,24 +188,24 @@
 async fn an_entry_without_members_accepts_newer_lists_from_other_entries() {
     let env = Env::new(1, 0);
     let follower = env.follower();
-    let mut news = follower.news();
+    let mut state = follower.state();
     for case in RELAYS {
-        let entry = |name: &&str| EntrySeen {
+        let entry = |name: &&str| EntryInfo {
             name: (*name).to_owned(),
             address: env.addresses[0],
             domain: "d".to_owned(),
         };
         let entries = case.entries.iter().map(entry).collect();
-        let seated = Stamp { term: 1, count: case.count };
+        let entries_stamp = Stamp { term: 1, count: case.count };
         // The number of the list of upstreams tells when the relay was handled.
-        let stamp = Stamp { term: 1, count: news.borrow().listed.count + 1 };
+        let stamp = Stamp { term: 1, count: state.borrow().upstreams_stamp.count + 1 };
         let upstreams = UpstreamList { stamp, upstreams: Vec::new() };
-        let relay = Relay { seated, entries, upstreams };
+        let relay = Relay { entries_stamp, entries, upstreams };
         follower.relays().send(relay).await.expect("the follower runs");
-        let taken = timeout(TIMEOUT, news.wait_for(|it| it.listed == stamp)).await;
-        let news = taken.expect("in time").expect("the follower runs").clone();
-        let known: Vec<&str> = news.entries.iter().map(|it| it.name.as_str()).collect();
+        let taken = timeout(TIMEOUT, state.wait_for(|it| it.upstreams_stamp == stamp)).await;
+        let state = taken.expect("in time").expect("the follower runs").clone();
+        let known: Vec<&str> = state.entries.iter().map(|it| it.name.as_str()).collect();
         assert_eq!(known, case.known, "{}", case.name);
-        assert_eq!(news.relay().seated, news.seated, "{}", case.name);
+        assert_eq!(state.relay().entries_stamp, state.entries_stamp, "{}", case.name);
     }
 }
--- a/crates/registry/tests/crowd.rs
+++ b/crates/registry/tests/crowd.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use env::{Env, TIMEOUT, put};
-use registry::EntrySeen;
+use registry::EntryInfo;
 use registry::difference::NumberedList;
 use registry::message::{ToEntry, ToMember};
 use tokio::task::JoinSet;
@@ -22,8 +22,8 @@
 /// connects, once in differences, and as much again for the plan, the upstreams and the heartbeats.
 const MAX_MULTIPLE: u64 = 4;
 
-fn seen(number: usize) -> EntrySeen {
-    EntrySeen {
+fn seen(number: usize) -> EntryInfo {
+    EntryInfo {
         name: format!("edge-of-some-domain-{number}"),
         address: SocketAddr::from(([127, 0, 0, 1], 1_000 + number as u16)),
         domain: "a-domain".to_owned(),
@@ -44,7 +44,7 @@
 
 /// Reads until the list holds all entries, and returns the number of bytes received.
 async fn read_all(receiver: &mut Receiver<ToEntry>) -> u64 {
-    let mut known = NumberedList::<EntrySeen>::default();
+    let mut known = NumberedList::<EntryInfo>::default();
     while known.list.len() < ENTRIES {
         match receiver.recv().await.expect("a message").expect("a member") {
             ToEntry::Entries(stamp, list) => known = NumberedList::new(stamp, list),
--- a/crates/registry/tests/difference.rs
+++ b/crates/registry/tests/difference.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 
 use registry::difference::NumberedList;
-use registry::{EntrySeen, Stamp};
+use registry::{EntryInfo, Stamp};
 
-fn entries(numbers: &[u16]) -> Vec<EntrySeen> {
-    let entry = |number: &u16| EntrySeen {
+fn entries(numbers: &[u16]) -> Vec<EntryInfo> {
+    let entry = |number: &u16| EntryInfo {
         name: format!("vm-{number}"),
         address: SocketAddr::from(([127, 0, 0, 1], *number)),
         domain: "d".to_owned(),
@@ -14,7 +14,7 @@
     numbers.iter().map(entry).collect()
 }
 
-fn numbered(count: u64, numbers: &[u16]) -> NumberedList<EntrySeen> {
+fn numbered(count: u64, numbers: &[u16]) -> NumberedList<EntryInfo> {
     NumberedList::new(Stamp { term: 1, count }, entries(numbers))
 }
 
--- a/crates/registry/tests/env/mod.rs
+++ b/crates/registry/tests/env/mod.rs
@@ -8,8 +8,8 @@
 
 use registry::message::{ToEntry, ToMember};
 use registry::{
-    Codec, Follower, FollowerConfig, Health, ListSource, Listing, Member, MemberConfig, PutOutcome,
-    ReadOutcome, Upstream, deployment_secret,
+    Follower, FollowerConfig, Health, ListSource, Listing, Member, MemberConfig, PlanValidator,
+    PutOutcome, ReadOutcome, Upstream, deployment_secret,
 };
 use standins::Ports;
 use tempfile::TempDir;
@@ -21,9 +21,9 @@
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Parses the tests' plans, which start with their version as text; `bad` is invalid.
-pub(crate) struct TextCodec;
+pub(crate) struct TextValidator;
 
-impl Codec for TextCodec {
+impl PlanValidator for TextValidator {
     fn check(&self, text: &[u8]) -> Result<Version, String> {
         let text = std::str::from_utf8(text).map_err(|e| e.to_string())?;
         let number = text.split(' ').next().unwrap_or_default();
@@ -76,16 +76,16 @@
     }
 
     /// Starts a member.
-    pub(crate) async fn member(&self, number: usize, bootstrap: bool) -> Member<TextCodec> {
+    pub(crate) async fn member(&self, number: usize, bootstrap: bool) -> Member<TextValidator> {
         let config = MemberConfig {
             vm: format!("vm-{number}").parse().expect("a name"),
             data_dir: self.data_dir(number),
             address: self.addresses[number],
             seeds: self.seeds(),
             bootstrap,
-            losses: self.losses,
+            max_losses: self.losses,
         };
-        let started = Member::spawn(config, TextCodec, OneUpstream, deployment_secret()).await;
+        let started = Member::spawn(config, TextValidator, OneUpstream, deployment_secret()).await;
         started.expect("a member")
     }
 
@@ -108,7 +108,7 @@
     /// Starts a follower with these seed addresses.
     pub(crate) fn follower_of(&self, seeds: Vec<SocketAddr>) -> Follower {
         let config = FollowerConfig {
-            entry: registry::EntrySeen {
+            entry: registry::EntryInfo {
                 name: "entry-1".to_owned(),
                 address: SocketAddr::from(([127, 0, 0, 1], 1)),
                 domain: "d".to_owned(),
@@ -121,7 +121,7 @@
 }
 
 /// Sends a plan to the members in turn until one acknowledges it.
-pub(crate) async fn put(members: &[&Member<TextCodec>], text: &str) -> Version {
+pub(crate) async fn put(members: &[&Member<TextValidator>], text: &str) -> Version {
     let deadline = Instant::now() + TIMEOUT;
     while Instant::now() < deadline {
         for member in members {
@@ -135,7 +135,7 @@
 }
 
 /// Reads the plan from the members in turn until one returns it as confirmed.
-pub(crate) async fn read(members: &[&Member<TextCodec>]) -> String {
+pub(crate) async fn read(members: &[&Member<TextValidator>]) -> String {
     let deadline = Instant::now() + TIMEOUT;
     while Instant::now() < deadline {
         for member in members {
--- a/crates/registry/tests/quarantine.rs
+++ b/crates/registry/tests/quarantine.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use registry::quarantine::{
-    Decision, EndSeen, EntryClock, Held, Known, Quarantine, RunSeen, Standing,
+    Admission, Decision, EndSeen, EntryClock, Held, Quarantine, QuarantineView, RunSeen,
 };
 use registry::{RequestDigest, Stamp};
 
@@ -280,16 +280,16 @@
 fn a_new_leader_learns_what_is_held_from_the_entries() {
     let (quarantine, start) = holding();
     let stamp = |term, count| Stamp { term, count };
-    let mut known = Known::default();
+    let mut known = QuarantineView::default();
     assert!(known.update(&quarantine.list(stamp(1, 1), start), start));
-    assert_eq!(known.standing(&digest(HARMFUL), start), Standing::Held(FIRST_HOLD));
+    assert_eq!(known.admission(&digest(HARMFUL), start), Admission::Held(FIRST_HOLD));
 
     let mut next = Quarantine::default();
     let later = start + Duration::from_secs(60);
     assert!(known.update(&next.list(stamp(2, 1), later), later));
     assert_eq!(
-        known.standing(&digest(HARMFUL), later),
-        Standing::Held(FIRST_HOLD - Duration::from_secs(60))
+        known.admission(&digest(HARMFUL), later),
+        Admission::Held(FIRST_HOLD - Duration::from_secs(60))
     );
     let reported: Vec<Held> = known.held(later);
     assert!(next.merge_known(&reported, later), "new to the next leader");
@@ -302,10 +302,10 @@
         "a list of an older leader"
     );
     let left = FIRST_HOLD - Duration::from_secs(63);
-    assert_eq!(known.standing(&digest(HARMFUL), after), Standing::Held(left));
+    assert_eq!(known.admission(&digest(HARMFUL), after), Admission::Held(left));
     next.record_completion(digest(HARMFUL));
     assert!(known.update(&next.list(stamp(2, 3), after), after));
-    assert_eq!(known.standing(&digest(HARMFUL), after), Standing::Free);
+    assert_eq!(known.admission(&digest(HARMFUL), after), Admission::Allowed);
 }
 
 /// Guards against memory and lists that grow with the number of requests.
--- a/crates/registry/tests/quarantine_fleet.rs
+++ b/crates/registry/tests/quarantine_fleet.rs
@@ -9,7 +9,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use registry::quarantine::{
-    Decision, EndSeen, EntryClock, Evidence, Known, Quarantine, QuarantineList, RunSeen, Standing,
+    Admission, Decision, EndSeen, EntryClock, Evidence, Quarantine, QuarantineList, QuarantineView,
+    RunSeen,
 };
 use registry::{RequestDigest, Stamp};
 
@@ -201,7 +202,7 @@
     upstreams: Vec<Upstream>,
     leader: Quarantine,
     list: QuarantineList,
-    known: Vec<Known>,
+    known: Vec<QuarantineView>,
     seen: HashMap<u32, Timeline>,
     /// The number of harmless requests that were refused.
     refused: usize,
@@ -228,7 +229,7 @@
             upstreams: (0..case.upstreams).map(|_| upstream()).collect(),
             leader: Quarantine::default(),
             list: QuarantineList::default(),
-            known: vec![Known::default(); case.entries],
+            known: vec![QuarantineView::default(); case.entries],
             seen: HashMap::new(),
             refused: 0,
             bytes: 0,
@@ -328,9 +329,9 @@
 
     fn arrive(&mut self, request: u32, entry: usize, ends: u32) {
         let digest = digest(request);
-        match self.known[entry].standing(&digest, self.instant()) {
-            Standing::Free | Standing::Watched => {}
-            Standing::Held(_) | Standing::Due => {
+        match self.known[entry].admission(&digest, self.instant()) {
+            Admission::Allowed | Admission::Watched => {}
+            Admission::Held(_) | Admission::TrialDue => {
                 self.refused += usize::from(!self.is_harmful(request));
                 return;
             }
@@ -363,7 +364,7 @@
         }
         self.upstreams[upstream].runs.remove(&run.number);
         let digest = digest(run.request);
-        if self.known[run.entry].standing(&digest, self.instant()) != Standing::Free {
+        if self.known[run.entry].admission(&digest, self.instant()) != Admission::Allowed {
             self.report(run.entry, Evidence::Completed(digest), 0);
         }
     }
@@ -403,7 +404,7 @@
         for upstream in &mut self.upstreams {
             upstream.runs.retain(|_, it| it.0.entry != entry);
         }
-        self.known[entry] = Known::default();
+        self.known[entry] = QuarantineView::default();
         let latency = self.latency().unwrap_or(450);
         self.schedule(latency, Event::ToEntry(entry, self.list.clone()));
     }
--- a/crates/registry/tests/slow_link.rs
+++ b/crates/registry/tests/slow_link.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use env::{Env, TIMEOUT, put};
-use registry::{Follower, Member, News};
+use registry::{Follower, Member, RegistryState};
 use standins::proxy::{Config, Proxy};
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
@@ -32,21 +32,21 @@
 
 /// Members, and slow links to them.
 struct Cluster {
-    members: Vec<Member<env::TextCodec>>,
+    members: Vec<Member<env::TextValidator>>,
     links: Vec<Proxy>,
     env: Env,
 }
 
 /// An entry that reaches the members through the links.
 struct Entry {
-    news: watch::Receiver<News>,
+    state: watch::Receiver<RegistryState>,
     _follower: Follower,
 }
 
 impl Entry {
     /// Waits until the entry has a plan with this version, or a newer one.
     async fn shown(&mut self, version: Version) {
-        let known = self.news.wait_for(|it| it.plan.as_ref().is_some_and(|it| it.0 >= version));
+        let known = self.state.wait_for(|it| it.plan.as_ref().is_some_and(|it| it.0 >= version));
         let known = timeout(TIMEOUT, known).await;
         known.expect("the plan comes").expect("the entry runs");
     }
@@ -71,7 +71,7 @@
 
     fn entry(&self) -> Entry {
         let follower = self.env.follower_of(self.links.iter().map(Proxy::address).collect());
-        Entry { news: follower.news(), _follower: follower }
+        Entry { state: follower.state(), _follower: follower }
     }
 
     async fn put(&self, text: &str) -> Version {
@@ -116,7 +116,7 @@
     let cluster = Cluster::open().await;
     cluster.put(&plan(1, ROUTES, 0)).await;
     let mut entry = cluster.entry();
-    let shown = entry.news.wait_for(|it| it.plan.is_some());
+    let shown = entry.state.wait_for(|it| it.plan.is_some());
     let changes = async {
         for number in 2..=CHANGES {
             cluster.put(&plan(number, ROUTES, number as usize)).await;
