--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use registry::RequestDigest;
-use registry::quarantine::{EndSeen, Evidence, Known, RunSeen, Standing};
+use registry::quarantine::{Admission, EndSeen, Evidence, QuarantineView, RunSeen};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, timeout};
@@ -57,7 +57,7 @@
 /// The quarantine as this entry knows it, and the evidence that it collects.
 #[derive(Debug)]
 pub(crate) struct Quarantine {
-    known: watch::Receiver<Arc<Known>>,
+    known: watch::Receiver<Arc<QuarantineView>>,
     evidence: mpsc::Sender<Evidence>,
     own: SocketAddr,
     start: Instant,
@@ -69,7 +69,7 @@
 
 impl Quarantine {
     pub(crate) fn new(
-        known: watch::Receiver<Arc<Known>>,
+        known: watch::Receiver<Arc<QuarantineView>>,
         evidence: mpsc::Sender<Evidence>,
         own: SocketAddr,
     ) -> Self {
@@ -89,46 +89,46 @@
         if known.is_empty() || request.is_trial() {
             return Ok(());
         }
-        match known.standing(&request.digest(), Instant::now().into_std()) {
-            Standing::Free | Standing::Watched => Ok(()),
-            Standing::Held(after) => Err(Quarantined { after }),
-            Standing::Due => Err(Quarantined { after: TRIAL_TIMEOUT }),
+        match known.admission(&request.digest(), Instant::now().into_std()) {
+            Admission::Allowed | Admission::Watched => Ok(()),
+            Admission::Held(after) => Err(Quarantined { after }),
+            Admission::TrialDue => Err(Quarantined { after: TRIAL_TIMEOUT }),
         }
     }
 
     /// Returns whether a request may not be sent to upstreams now.
     pub(crate) fn is_quarantined(&self, digest: &RequestDigest) -> bool {
         let known = self.known.borrow();
-        matches!(self.standing(&known, digest), Standing::Held(_))
+        matches!(self.admission(&known, digest), Admission::Held(_))
     }
 
     /// Returns whether upstreams ended under a request, so that what is sent together with it may
     /// be lost.
     pub(crate) fn is_suspected(&self, digest: &RequestDigest) -> bool {
         let known = self.known.borrow();
-        self.standing(&known, digest) != Standing::Free
+        self.admission(&known, digest) != Admission::Allowed
     }
 
-    fn standing(&self, known: &Known, digest: &RequestDigest) -> Standing {
+    fn admission(&self, known: &QuarantineView, digest: &RequestDigest) -> Admission {
         if known.is_empty() {
-            return Standing::Free;
+            return Admission::Allowed;
         }
-        known.standing(digest, Instant::now().into_std())
+        known.admission(digest, Instant::now().into_std())
     }
 
     /// Decides on an arriving request. One whose time in quarantine is over may become a trial.
     pub(crate) async fn admit(&self, request: &CallerRequest) -> Result<(), Quarantined> {
-        let standing = {
+        let admission = {
             let known = self.known.borrow();
             if known.is_empty() {
                 return Ok(());
             }
-            known.standing(&request.digest(), Instant::now().into_std())
+            known.admission(&request.digest(), Instant::now().into_std())
         };
-        match standing {
-            Standing::Free | Standing::Watched => Ok(()),
-            Standing::Held(after) => Err(Quarantined { after }),
-            Standing::Due => self.request_trial(request).await,
+        match admission {
+            Admission::Allowed | Admission::Watched => Ok(()),
+            Admission::Held(after) => Err(Quarantined { after }),
+            Admission::TrialDue => self.request_trial(request).await,
         }
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Claims the trial that the leader granted to this entry, if no request has used it yet.
-    fn claim_trial(&self, known: &Known, digest: &RequestDigest) -> bool {
+    fn claim_trial(&self, known: &QuarantineView, digest: &RequestDigest) -> bool {
         let Some(number) = known.trial(digest, self.own) else { return false };
         let mut trials = lock(&self.trials);
         if trials.get(digest).is_some_and(|it| *it >= number) {
@@ -167,7 +167,7 @@
                 return;
             }
             let digest = request.digest();
-            if known.standing(&digest, Instant::now().into_std()) == Standing::Free {
+            if known.admission(&digest, Instant::now().into_std()) == Admission::Allowed {
                 return;
             }
             digest
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use registry::{EntrySeen, LoadReport, News, Stamp, loads_period};
+use registry::{EntryInfo, LoadReport, RegistryState, Stamp, loads_period};
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until, timeout};
 
@@ -42,7 +42,7 @@
 pub(crate) struct Shared<D> {
     plan: ArcSwapOption<Plan>,
     directory: ArcSwap<Directory>,
-    peers: ArcSwap<Vec<EntrySeen>>,
+    peers: ArcSwap<Vec<EntryInfo>>,
     entries: AtomicUsize,
     /// Whether the list of entries has been received.
     entries_known: AtomicBool,
@@ -142,7 +142,7 @@
     }
 
     /// Returns the other entries.
-    pub(crate) fn peers(&self) -> Arc<Vec<EntrySeen>> {
+    pub(crate) fn peers(&self) -> Arc<Vec<EntryInfo>> {
         self.peers.load_full()
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Applies the registry's news until the sender is gone.
-    pub(crate) async fn follow_news(self: Arc<Self>, mut news: watch::Receiver<News>) {
+    pub(crate) async fn follow_news(self: Arc<Self>, mut news: watch::Receiver<RegistryState>) {
         let mut idle_check = interval(IDLE_CHECK_INTERVAL);
         idle_check.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -216,17 +216,17 @@
         }
     }
 
-    fn apply_news(&self, news: &News) {
+    fn apply_news(&self, news: &RegistryState) {
         let others = news.entries.iter().filter(|it| it.address != self.own).cloned();
-        let others: Vec<EntrySeen> = others.collect();
+        let others: Vec<EntryInfo> = others.collect();
         let listed = others.len() < news.entries.len();
         if self.listed.swap(listed, Ordering::Relaxed) != listed {
-            log::info!(listed, others = others.len(), seated:% = news.seated;
+            log::info!(listed, others = others.len(), seated:% = news.entries_stamp;
                 "this entry was added to or removed from the list of entries");
         }
         self.entries.fetch_max(others.len() + 1, Ordering::Relaxed);
         self.peers.store(Arc::new(others));
-        if news.seated > Stamp::default() {
+        if news.entries_stamp > Stamp::default() {
             self.entries_known.store(true, Ordering::Relaxed);
         }
         if let Some((version, text)) = &news.plan {
