--- a/crates/gateway/src/batch/client.rs
+++ b/crates/gateway/src/batch/client.rs
@@ -1,4 +1,4 @@
-//! The submitter's side: hands the pieces of a stage to the owner of its service.
+//! The submitter's side: submits the pieces of a stage to the owner of its service.
 
 mod job;
 
@@ -14,43 +14,44 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout_at};
 use wire::{Hello, Secret};
 
-use crate::batch::link::{Inlets, Link, PULSE};
+use crate::batch::link::{HEARTBEAT_INTERVAL, Link, Sinks};
 use crate::batch::message::{Submission, ToOwner};
-use crate::batch::owner::{OWN, Owner, OwnerEvent};
+use crate::batch::owner::{LOCAL_ORIGIN, Owner, OwnerEvent};
 use crate::dialect::{Dialect, Handle, PieceFailure, PieceInput};
 use crate::place::score;
 use crate::section::Section;
 use crate::shared::Shared;
 
-use self::job::{Ended, LocalJob, Progress, RemoteJob, job};
+use self::job::{JobEnd, LocalJob, Progress, RemoteJob, job_message};
 
-/// How long an owner may take to accept a job: a packet that is lost and sent again after 200 ms, each
-/// way. With less, entries on a link that loses packets pass over owners that are well, and two owners
-/// send calls to the same upstreams.
-const ACCEPT: Duration = Duration::from_millis(420);
+/// How long an owner may take to accept a job. Leaves time for a lost packet in each direction,
+/// which is sent again after 200 ms. With less, entries on a lossy link skip healthy owners, and
+/// two owners send calls to the same upstreams.
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(420);
 
-/// How long an owner with open jobs may be silent: some pulses, and a packet that is sent again.
-const SILENT: Duration = PULSE.saturating_mul(7);
+/// How long an owner with open jobs may be silent: several heartbeats and the retransmission of a
+/// lost packet.
+const SILENCE_TIMEOUT: Duration = HEARTBEAT_INTERVAL.saturating_mul(7);
 
-/// How long an owner that was silent is passed over.
-const SUSPECT: Duration = Duration::from_millis(1_500);
+/// How long an owner that failed to answer is skipped.
+const SUSPECT_PERIOD: Duration = Duration::from_millis(1_500);
 
-/// A service whose pieces wait this long has too little room.
-const CROWDED: Duration = Duration::from_millis(60);
+/// The wait from which the upstreams of a section count as short of space for results.
+const CROWDED_WAIT: Duration = Duration::from_millis(60);
 
-/// To how many owners a job is handed at most.
-const OWNERS: usize = 3;
+/// The number of owners that a job is submitted to at most.
+const MAX_OWNERS: usize = 3;
 
-/// How often an entry without a member asks others for their news.
-const ASK: Duration = Duration::from_millis(500);
+/// How often an entry without a registry member asks other entries for the registry's news.
+const NEWS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How many others it asks; some of them may have no member either.
-const ASKED: usize = 3;
+/// How many entries it asks each time; some of them may have no member either.
+const NEWS_PEERS: usize = 3;
 
 /// The pieces of one stage of one request.
 pub(crate) struct JobSpec {
     pub(crate) service: Arc<str>,
-    /// The request.
+    /// The digest of the request.
     pub(crate) digest: RequestDigest,
     pub(crate) attempt: Arc<str>,
     pub(crate) stage: u32,
@@ -64,31 +65,31 @@
     pub(crate) deadline: Instant,
 }
 
-/// Where the time of a job went, as its owner saw it.
+/// The time that a job spent in each phase, as its owner measured it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StageTimes {
-    /// How long the pieces that came last waited at the owner.
+    /// How long the pieces that completed last waited at the owner.
     pub(crate) wait: Duration,
-    /// How long their call took.
+    /// How long the call of these pieces took.
     pub(crate) call: Duration,
 }
 
-/// The results of a job, in order.
-pub(crate) struct Made {
+/// The results of a job, in the order of its pieces.
+pub(crate) struct JobResults {
     pub(crate) handles: Vec<Handle>,
-    /// When the first of them came.
+    /// When the first result arrived.
     pub(crate) first: Instant,
     pub(crate) times: StageTimes,
 }
 
-/// The submitter's side of all services.
+/// Submits jobs of all services to their owners.
 pub(crate) struct Batches<D> {
     shared: Arc<Shared<D>>,
     owner: Owner,
     secret: Secret,
-    me: Hello,
-    own: SocketAddr,
-    next: AtomicU64,
+    hello: Hello,
+    own_address: SocketAddr,
+    next_id: AtomicU64,
     links: Mutex<HashMap<SocketAddr, Arc<Link>>>,
     suspects: Mutex<HashMap<SocketAddr, Instant>>,
     relays: mpsc::Sender<Relay>,
@@ -99,28 +100,29 @@
         shared: Arc<Shared<D>>,
         owner: Owner,
         secret: Secret,
-        me: Hello,
-        own: SocketAddr,
+        hello: Hello,
+        own_address: SocketAddr,
         relays: mpsc::Sender<Relay>,
     ) -> Self {
         Self {
             shared,
             owner,
             secret,
-            me,
-            own,
-            next: AtomicU64::new(0),
+            hello,
+            own_address,
+            next_id: AtomicU64::new(0),
             links: Mutex::default(),
             suspects: Mutex::default(),
             relays,
         }
     }
 
-    /// Has all pieces of a stage made; returns their results in order.
+    /// Runs all pieces of a stage and returns their results in order.
     ///
     /// # Errors
-    /// With the first failure of a piece.
-    pub(crate) async fn run(&self, spec: &JobSpec) -> Result<Made, PieceFailure> {
+    /// Returns the first failure of a piece, or [`PieceFailure::Failed`] if no owner completed the
+    /// job.
+    pub(crate) async fn run(&self, spec: &JobSpec) -> Result<JobResults, PieceFailure> {
         let left = (0..spec.pieces).collect();
         let mut progress = Progress {
             batches: self,
@@ -130,35 +132,36 @@
             first: None,
             times: StageTimes::default(),
         };
-        let mut again = false;
+        let mut resubmitted = false;
         let mut owners = 0;
-        while owners < OWNERS {
-            let last = owners + 1 == OWNERS;
+        while owners < MAX_OWNERS {
+            let last = owners + 1 == MAX_OWNERS;
             let section = self.shared.section(&spec.service, spec.domain.as_deref(), spec.rank);
             let Some(address) = self.owner_of(&section, last) else { break };
-            if again {
+            if resubmitted {
                 let entries = self.shared.entries();
                 let count = progress.left.len() as u32;
                 if !self.shared.budget.take(&spec.service, count, entries, Instant::now()) {
                     break;
                 }
             }
-            match self.run_at(address, section, spec, again, &mut progress).await {
-                Ended::Done => {
+            match self.run_at(address, section, spec, resubmitted, &mut progress).await {
+                JobEnd::Done => {
                     let done = std::mem::take(&mut progress.done);
                     let first = progress.first.unwrap_or_else(Instant::now);
                     let handles = done.into_values().collect();
-                    return Ok(Made { handles, first, times: progress.times });
+                    return Ok(JobResults { handles, first, times: progress.times });
                 }
-                Ended::Failed(failure) => return Err(failure),
-                Ended::Silent => {
+                JobEnd::Failed(failure) => return Err(failure),
+                JobEnd::Silent => {
                     self.suspect(address, &spec.service, "silent");
-                    again = true;
+                    resubmitted = true;
                     owners += 1;
                 }
-                // It says nothing of the others, and cost next to no time.
-                Ended::Unreached => self.suspect(address, &spec.service, "unreachable"),
-                Ended::Refused => {
+                // An unreachable owner says nothing about the others and cost next to no time, so
+                // it does not count.
+                JobEnd::Unreachable => self.suspect(address, &spec.service, "unreachable"),
+                JobEnd::Refused => {
                     self.suspect(address, &spec.service, "ending");
                     owners += 1;
                 }
@@ -167,7 +170,7 @@
         Err(PieceFailure::Failed)
     }
 
-    /// Gives results up; whoever owns a service tells their keepers.
+    /// Releases results: the owners of their sections tell the upstreams that store them.
     pub(crate) fn free(&self, handles: &[Handle]) {
         if handles.is_empty() {
             return;
@@ -185,33 +188,33 @@
         for (section, handles) in by_section {
             let message = ToOwner::Free(handles);
             match self.owner_of(&section, false) {
-                Some(address) if address != self.own => self.link(address).tell(message),
+                Some(address) if address != self.own_address => self.link(address).tell(message),
                 _ => {
                     let (replies, _) = mpsc::unbounded_channel();
-                    self.owner.tell(OwnerEvent::Told(OWN, message, replies));
+                    self.owner.tell(OwnerEvent::Message(LOCAL_ORIGIN, message, replies));
                 }
             }
         }
     }
 
-    /// Gives up inputs that were fetched, while the request still runs, where pieces wait for their
-    /// makers. Room for results is what bounds these: results that stay for the time of another call leave
-    /// the next calls half full. Where there is no backlog the
-    /// results stay until their request is done, in case their followers must run again.
-    fn free_crowded(&self, handles: &[Handle]) {
+    /// Releases inputs that were fetched while the request still runs, if pieces wait for the
+    /// upstreams that store them. Space for results is what limits these upstreams: results that
+    /// stay for the duration of another call leave the next calls half full. Without a backlog the
+    /// results stay until their request is done, in case stages that use them must run again.
+    fn free_early(&self, handles: &[Handle]) {
         let directory = self.shared.directory();
         let crowded = |it: &&Handle| {
             let address = D::keeper(it);
             let keeper = directory.all().find(|it| Some(it.address) == address);
             let section = keeper.map(|it| directory.section_of(it));
             let wait = section.map(|it| self.shared.backlogs.wait(&it, u8::MAX));
-            wait.is_some_and(|it| it >= CROWDED)
+            wait.is_some_and(|it| it >= CROWDED_WAIT)
         };
         let crowded: Vec<Handle> = handles.iter().filter(crowded).cloned().collect();
         self.free(&crowded);
     }
 
-    /// The failure domain in which most of some results are kept.
+    /// Returns the failure domain that stores most of the results.
     pub(crate) fn domain_of(&self, handles: &[Handle]) -> Option<Arc<str>> {
         let directory = self.shared.directory();
         let mut counts: HashMap<Arc<str>, usize> = HashMap::new();
@@ -224,10 +227,11 @@
         counts.into_iter().max_by_key(|it| it.1).map(|it| it.0)
     }
 
-    /// The owner of a section from this entry's view, one in the section's failure domain if there is any:
-    /// it is next to the upstreams, and to most that hand it jobs. An entry that others count as gone is no
-    /// owner: they have chosen another, and two owners send calls to the same upstreams without
-    /// knowledge of each other. But `alone`, where no other answers, it is.
+    /// Returns the owner of a section from this entry's view: an entry in the section's failure
+    /// domain if there is one, because it is close to the upstreams and to most submitters. An
+    /// entry that the others count as gone does not choose itself: they have chosen another owner,
+    /// and two owners would send calls to the same upstreams without knowing of each other. It does
+    /// so only if `alone` is set, when no other owner answers.
     fn owner_of(&self, section: &Section, alone: bool) -> Option<SocketAddr> {
         let now = Instant::now();
         let mut suspects = self.suspects.lock().unwrap_or_else(PoisonError::into_inner);
@@ -239,15 +243,15 @@
         let others = peers.iter().map(|it| (near(&it.domain), it.address));
         let others = others.filter(|it| !suspects.contains_key(&it.1));
         let counts = alone || self.shared.is_listed();
-        let free = others.chain(counts.then_some((near(&self.shared.domain), self.own)));
+        let free = others.chain(counts.then_some((near(&self.shared.domain), self.own_address)));
         let first = free.max_by_key(|it| (it.0, score(key, &it.1.to_string())));
-        first.map(|it| it.1).or(Some(self.own))
+        first.map(|it| it.1).or(Some(self.own_address))
     }
 
-    /// Asks other entries for the registry's news while this one has no member, for as long as the
-    /// process lives.
+    /// Asks other entries for the registry's news while this one is connected to no registry
+    /// member. Runs for as long as the process does.
     pub(crate) async fn ask_around(self: Arc<Self>, news: watch::Receiver<News>) {
-        let mut ticks = interval(ASK);
+        let mut ticks = interval(NEWS_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
@@ -256,16 +260,16 @@
             }
             let peers = self.shared.peers();
             let addresses = peers.iter().map(|it| it.address);
-            for address in addresses.sample(&mut rand::rng(), ASKED) {
-                self.link(address).tell(ToOwner::Follow);
+            for address in addresses.sample(&mut rand::rng(), NEWS_PEERS) {
+                self.link(address).tell(ToOwner::SubscribeNews);
             }
         }
     }
 
     fn suspect(&self, address: SocketAddr, service: &str, cause: &str) {
-        log::warn!(peer:% = address, service, cause; "passing over the owner of a service");
+        log::warn!(peer:% = address, service, cause; "the owner of a service is unavailable; choosing another one");
         let mut suspects = self.suspects.lock().unwrap_or_else(PoisonError::into_inner);
-        suspects.insert(address, Instant::now() + SUSPECT);
+        suspects.insert(address, Instant::now() + SUSPECT_PERIOD);
     }
 
     fn link(&self, address: SocketAddr) -> Arc<Link> {
@@ -273,8 +277,8 @@
         links.retain(|_, it| !it.is_ended());
         let open = || {
             let backlogs = Arc::clone(&self.shared.backlogs);
-            let inlets = Inlets { backlogs, relays: self.relays.clone() };
-            Link::open(address, self.secret.clone(), self.me.clone(), inlets)
+            let sinks = Sinks { backlogs, relays: self.relays.clone() };
+            Link::open(address, self.secret.clone(), self.hello.clone(), sinks)
         };
         Arc::clone(links.entry(address).or_insert_with(open))
     }
@@ -284,48 +288,48 @@
         address: SocketAddr,
         section: Section,
         spec: &JobSpec,
-        again: bool,
+        resubmitted: bool,
         progress: &mut Progress<'_, D>,
-    ) -> Ended {
-        let id = self.next.fetch_add(1, Ordering::Relaxed) + 1;
-        let job = job(id, spec, again, &progress.left);
+    ) -> JobEnd {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed) + 1;
+        let job = job_message(id, spec, resubmitted, &progress.left);
         let domain = section.domain.as_ref().map(ToString::to_string);
-        let message = ToOwner::SubmitOf(Submission { domain, digest: spec.digest, job });
+        let message = ToOwner::SubmitWithDigest(Submission { domain, digest: spec.digest, job });
         let (replies, mut answers) = mpsc::unbounded_channel();
-        if address == self.own {
+        if address == self.own_address {
             let _guard = LocalJob { owner: &self.owner, id };
-            self.owner.tell(OwnerEvent::Told(OWN, message, replies));
+            self.owner.tell(OwnerEvent::Message(LOCAL_ORIGIN, message, replies));
             while let Some(answer) = answers.recv().await {
-                if let Some(ended) = progress.take(answer) {
+                if let Some(ended) = progress.handle_answer(answer) {
                     return ended;
                 }
             }
-            return Ended::Silent;
+            return JobEnd::Silent;
         }
         let link = self.link(address);
         let _guard = RemoteJob { link: &link, id };
-        let lost = || if link.is_refused() { Ended::Unreached } else { Ended::Silent };
-        if !link.wait(id, replies) {
+        let lost = || if link.is_refused() { JobEnd::Unreachable } else { JobEnd::Silent };
+        if !link.register(id, replies) {
             return lost();
         }
         link.tell(message);
-        let mut by = Instant::now() + ACCEPT;
+        let mut by = Instant::now() + ACCEPT_TIMEOUT;
         let mut accepted = false;
         loop {
             match timeout_at(by, answers.recv()).await {
                 Ok(Some(answer)) => {
                     accepted = true;
-                    if let Some(ended) = progress.take(answer) {
+                    if let Some(ended) = progress.handle_answer(answer) {
                         return ended;
                     }
-                    by = Instant::now() + SILENT;
+                    by = Instant::now() + SILENCE_TIMEOUT;
                 }
                 Ok(None) => return lost(),
                 Err(_) => {
-                    let heard = link.heard().filter(|_| accepted);
-                    match heard.map(|it| it + SILENT).filter(|it| *it > Instant::now()) {
+                    let heard = link.last_heard().filter(|_| accepted);
+                    match heard.map(|it| it + SILENCE_TIMEOUT).filter(|it| *it > Instant::now()) {
                         Some(later) => by = later,
-                        None => return Ended::Silent,
+                        None => return JobEnd::Silent,
                     }
                 }
             }
--- a/crates/gateway/src/batch/client/job.rs
+++ b/crates/gateway/src/batch/client/job.rs
@@ -1,4 +1,4 @@
-//! One job at one owner: what is done and left of it, and its end.
+//! The progress of one job at one owner, and its end.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,49 +9,49 @@
 use super::{Batches, JobSpec, StageTimes};
 use crate::batch::link::Link;
 use crate::batch::message::{FromOwner, Job, JobInput, ToOwner};
-use crate::batch::owner::{OWN, Owner, OwnerEvent};
+use crate::batch::owner::{LOCAL_ORIGIN, Owner, OwnerEvent};
 use crate::dialect::{Dialect, Handle, PieceFailure, PieceInput};
 
 /// How a job ended at one owner.
-pub(super) enum Ended {
+pub(super) enum JobEnd {
     Done,
     Failed(PieceFailure),
     Silent,
-    /// The owner refused the connection, and took nothing.
-    Unreached,
-    /// The owner took nothing.
+    /// The owner refused the connection and received nothing.
+    Unreachable,
+    /// The owner did not accept the job.
     Refused,
 }
 
-/// A job's pieces that are done and those that are left. Dropped before all are done, it gives the
-/// results up.
+/// The completed and the outstanding pieces of a job. If dropped before all are completed, it
+/// releases the results.
 pub(super) struct Progress<'a, D: Dialect> {
     pub(super) batches: &'a Batches<D>,
     pub(super) input: &'a PieceInput,
     pub(super) done: BTreeMap<u32, Handle>,
     pub(super) left: BTreeSet<u32>,
     pub(super) first: Option<Instant>,
-    /// The wait and the call of the results that came last.
+    /// The wait and call times of the results that arrived last.
     pub(super) times: StageTimes,
 }
 
 impl<D: Dialect> Progress<'_, D> {
-    /// Takes an answer of the owner; returns how the job ended, if it did.
-    pub(super) fn take(&mut self, answer: FromOwner) -> Option<Ended> {
+    /// Handles a message from the owner and returns how the job ended, if it did.
+    pub(super) fn handle_answer(&mut self, answer: FromOwner) -> Option<JobEnd> {
         let done = match answer {
             FromOwner::Results(done) => done,
-            FromOwner::Refused(_) => return Some(Ended::Refused),
+            FromOwner::Refused(_) => return Some(JobEnd::Refused),
             FromOwner::Fetched(_) => {
                 if let PieceInput::Results(handles) = self.input {
-                    self.batches.free_crowded(handles);
+                    self.batches.free_early(handles);
                 }
                 return None;
             }
             FromOwner::Accepted(_)
-            | FromOwner::Pulse
+            | FromOwner::Heartbeat
             | FromOwner::News(_)
             | FromOwner::Backlog(..)
-            | FromOwner::Section(_) => return None,
+            | FromOwner::SectionBacklog(_) => return None,
         };
         self.times = StageTimes {
             wait: Duration::from_millis(done.wait_ms.into()),
@@ -64,15 +64,15 @@
                     self.first.get_or_insert_with(Instant::now);
                 }
                 Ok(_) => {}
-                Err(failure) => return Some(Ended::Failed(failure)),
+                Err(failure) => return Some(JobEnd::Failed(failure)),
             }
         }
-        self.left.is_empty().then_some(Ended::Done)
+        self.left.is_empty().then_some(JobEnd::Done)
     }
 }
 
-/// Makes the message for the pieces that are left.
-pub(super) fn job(id: u64, spec: &JobSpec, again: bool, left: &BTreeSet<u32>) -> Job {
+/// Builds the message that submits the outstanding pieces.
+pub(super) fn job_message(id: u64, spec: &JobSpec, resubmitted: bool, left: &BTreeSet<u32>) -> Job {
     let now = Instant::now();
     let input = match &spec.input {
         PieceInput::Key(key) => JobInput::Key(key.to_string()),
@@ -94,8 +94,8 @@
         weight: spec.weight,
         rank: spec.rank,
         due_ms: early - late,
-        left_ms: spec.deadline.saturating_duration_since(now).as_millis() as u64,
-        again,
+        remaining_ms: spec.deadline.saturating_duration_since(now).as_millis() as u64,
+        resubmitted,
     }
 }
 
@@ -106,8 +106,8 @@
     }
 }
 
-/// A job at this entry's own owner; cancelled when its request ends, so that no piece is made for
-/// a caller that left.
+/// A job at this entry's own owner. Dropping it, when its request ends, cancels it, so that no
+/// piece runs for a caller that left.
 pub(super) struct LocalJob<'a> {
     pub(super) owner: &'a Owner,
     pub(super) id: u64,
@@ -116,11 +116,11 @@
 impl Drop for LocalJob<'_> {
     fn drop(&mut self) {
         let (replies, _) = mpsc::unbounded_channel();
-        self.owner.tell(OwnerEvent::Told(OWN, ToOwner::Cancel(self.id), replies));
+        self.owner.tell(OwnerEvent::Message(LOCAL_ORIGIN, ToOwner::Cancel(self.id), replies));
     }
 }
 
-/// A job at another entry; cancelled when its request ends.
+/// A job at another entry. Dropping it, when its request ends, cancels it.
 pub(super) struct RemoteJob<'a> {
     pub(super) link: &'a Link,
     pub(super) id: u64,
--- a/crates/gateway/src/batch/link.rs
+++ b/crates/gateway/src/batch/link.rs
@@ -1,4 +1,4 @@
-//! Connections between entries for stage pieces.
+//! Connections between entries that carry stage pieces.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,23 +15,23 @@
 use crate::batch::owner::{Owner, OwnerEvent};
 use crate::section::Section;
 
-/// How often an owner shows a submitter with open jobs that it lives.
-pub(crate) const PULSE: Duration = Duration::from_millis(60);
+/// How often an owner sends a heartbeat to a submitter with open jobs.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(60);
 
-/// How long a dial may take.
+/// How long connecting may take.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long the other side may take to tell its level after the hello; one of the release before tells
-/// none.
-const LEVEL_PATIENCE: Duration = Duration::from_millis(60);
+/// How long the peer may take to send its protocol level after the hello. The previous release
+/// sends none.
+const LEVEL_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// For how long news are passed on after they were asked for; some of the periods in which entries
-/// without a member ask.
-pub(crate) const FOLLOW: Duration = Duration::from_secs(2);
+/// How long a subscription to the registry's news lasts: several of the intervals at which entries
+/// without a registry member renew it.
+pub(crate) const NEWS_SUBSCRIPTION: Duration = Duration::from_secs(2);
 
-/// Where what owners tell of all jobs goes.
+/// Where messages of owners go that belong to no single job.
 #[derive(Clone)]
-pub(crate) struct Inlets {
+pub(crate) struct Sinks {
     pub(crate) backlogs: Arc<Backlogs>,
     pub(crate) relays: mpsc::Sender<Relay>,
 }
@@ -39,123 +39,118 @@
 /// A connection to an owner.
 pub(crate) struct Link {
     sender: mpsc::UnboundedSender<ToOwner>,
-    waiting: Mutex<Waiting>,
-    inlets: Inlets,
+    state: Mutex<LinkState>,
+    sinks: Sinks,
 }
 
 #[derive(Default)]
-struct Waiting {
+struct LinkState {
     jobs: HashMap<u64, mpsc::UnboundedSender<FromOwner>>,
-    heard: Option<Instant>,
+    last_heard: Option<Instant>,
     refused: bool,
     ended: bool,
 }
 
 impl Link {
-    /// Opens a connection; it comes up in the background.
-    pub(crate) fn open(
-        address: SocketAddr,
-        secret: Secret,
-        me: Hello,
-        inlets: Inlets,
-    ) -> Arc<Self> {
+    /// Opens a connection. It is established in the background.
+    pub(crate) fn open(address: SocketAddr, secret: Secret, me: Hello, sinks: Sinks) -> Arc<Self> {
         let (sender, outgoing) = mpsc::unbounded_channel();
-        let link = Arc::new(Self { sender, waiting: Mutex::default(), inlets });
-        tokio::spawn(drive(Arc::clone(&link), address, secret, me, outgoing));
+        let link = Arc::new(Self { sender, state: Mutex::default(), sinks });
+        tokio::spawn(run(Arc::clone(&link), address, secret, me, outgoing));
         link
     }
 
-    /// Whether the connection has ended.
+    /// Returns whether the connection has ended.
     pub(crate) fn is_ended(&self) -> bool {
         self.lock().ended
     }
 
-    /// Whether the owner refused the connection: nothing told has reached it.
+    /// Returns whether the owner refused the connection, so that no message reached it.
     pub(crate) fn is_refused(&self) -> bool {
         self.lock().refused
     }
 
-    /// When the owner was heard last.
-    pub(crate) fn heard(&self) -> Option<Instant> {
-        self.lock().heard
+    /// Returns when the last message of the owner arrived.
+    pub(crate) fn last_heard(&self) -> Option<Instant> {
+        self.lock().last_heard
     }
 
-    /// Tells the owner something; lost where the connection has ended.
+    /// Sends a message to the owner. It is lost if the connection has ended.
     pub(crate) fn tell(&self, message: ToOwner) {
-        // A link that ended is seen by `is_ended`.
+        // If the connection has ended, `is_ended` shows it.
         let _ = self.sender.send(message);
     }
 
-    /// Registers where the answers to a job go; false where the connection has ended.
-    pub(crate) fn wait(&self, job: u64, replies: mpsc::UnboundedSender<FromOwner>) -> bool {
-        let mut waiting = self.lock();
-        if waiting.ended {
+    /// Registers where the answers to a job go. Returns false if the connection has ended.
+    pub(crate) fn register(&self, job: u64, replies: mpsc::UnboundedSender<FromOwner>) -> bool {
+        let mut state = self.lock();
+        if state.ended {
             return false;
         }
-        waiting.jobs.insert(job, replies);
+        state.jobs.insert(job, replies);
         true
     }
 
-    /// Forgets a job.
+    /// Removes a job.
     pub(crate) fn forget(&self, job: u64) {
         self.lock().jobs.remove(&job);
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, LinkState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn take(&self, message: FromOwner) {
-        let mut waiting = self.lock();
-        waiting.heard = Some(Instant::now());
+    fn handle(&self, message: FromOwner) {
+        let mut state = self.lock();
+        state.last_heard = Some(Instant::now());
         let id = match &message {
             FromOwner::Accepted(id) | FromOwner::Refused(id) | FromOwner::Fetched(id) => *id,
             FromOwner::Results(done) => done.id,
-            FromOwner::Pulse => return,
+            FromOwner::Heartbeat => return,
             FromOwner::Backlog(service, waits) => {
                 let section = Section { service: service.as_str().into(), domain: None };
                 let backlog = Backlog { waits: *waits, timely: *waits, need: 0 };
-                self.inlets.backlogs.set(section, backlog);
+                self.sinks.backlogs.set(section, backlog);
                 return;
             }
-            FromOwner::Section(news) => {
+            FromOwner::SectionBacklog(news) => {
                 let domain = news.domain.as_deref().map(Into::into);
                 let section = Section { service: news.service.as_str().into(), domain };
-                self.inlets.backlogs.set(section, news.backlog);
+                self.sinks.backlogs.set(section, news.backlog);
                 return;
             }
             FromOwner::News(relay) => {
-                // Without room the news that wait are as new.
-                let _ = self.inlets.relays.try_send(Relay::clone(relay));
+                // If the channel is full, the news that waits in it is as recent.
+                let _ = self.sinks.relays.try_send(Relay::clone(relay));
                 return;
             }
         };
-        if let Some(job) = waiting.jobs.get(&id) {
-            // The job may have been given up just now.
+        if let Some(job) = state.jobs.get(&id) {
+            // The job may have been cancelled just now.
             let _ = job.send(message);
         }
     }
 
-    /// Ends all jobs: their senders go, which their receivers see.
-    fn end(&self) {
-        let mut waiting = self.lock();
-        waiting.ended = true;
-        waiting.jobs.clear();
+    /// Ends all jobs by dropping their senders, which closes the receivers.
+    fn close(&self) {
+        let mut state = self.lock();
+        state.ended = true;
+        state.jobs.clear();
     }
 }
 
-async fn drive(
+async fn run(
     link: Arc<Link>,
     address: SocketAddr,
     secret: Secret,
     me: Hello,
     mut outgoing: mpsc::UnboundedReceiver<ToOwner>,
 ) {
-    let dialled = timeout(DIAL_TIMEOUT, wire::connect(address, &secret, me, Kind::Entry)).await;
-    link.lock().refused = matches!(dialled, Ok(Err(_)));
-    if let Ok(Ok(connection)) = dialled {
+    let dialed = timeout(DIAL_TIMEOUT, wire::connect(address, &secret, me, Kind::Entry)).await;
+    link.lock().refused = matches!(dialed, Ok(Err(_)));
+    if let Ok(Ok(connection)) = dialed {
         let (sender, mut receiver) = connection.split::<ToOwner, FromOwner>();
-        sender.wait_level(LEVEL_PATIENCE).await;
+        sender.wait_level(LEVEL_TIMEOUT).await;
         loop {
             tokio::select! {
                 message = outgoing.recv() => {
@@ -165,17 +160,17 @@
                     }
                 }
                 message = receiver.recv() => match message {
-                    Ok(Some(message)) => link.take(message),
+                    Ok(Some(message)) => link.handle(message),
                     Ok(None) | Err(_) => break,
                 },
             }
         }
     }
     log::info!(peer:% = address; "the connection to another entry ended");
-    link.end();
+    link.close();
 }
 
-/// Takes other entries' connections.
+/// Accepts connections of other entries.
 pub(crate) async fn accept(mut listener: Listener, owner: Owner, news: watch::Receiver<News>) {
     let mut origin = 0;
     loop {
@@ -186,7 +181,7 @@
             }
             Ok(_) => {}
             Err(error) => {
-                log::error!(cause:% = error; "the listener for other entries ended");
+                log::error!(cause:% = error; "the listener for other entries failed; accepting no more connections");
                 return;
             }
         }
@@ -196,12 +191,12 @@
 /// Serves one submitter until its connection ends.
 async fn serve(origin: u64, connection: Connection, owner: Owner, mut news: watch::Receiver<News>) {
     let (sender, mut receiver) = connection.split::<FromOwner, ToOwner>();
-    sender.wait_level(LEVEL_PATIENCE).await;
+    sender.wait_level(LEVEL_TIMEOUT).await;
     let (replies, mut answers) = mpsc::unbounded_channel();
-    let mut pulse = interval(PULSE);
-    pulse.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut heartbeat = interval(HEARTBEAT_INTERVAL);
+    heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut left: HashMap<u64, usize> = HashMap::new();
-    let mut passing = Passing::default();
+    let mut feed = NewsFeed::default();
     loop {
         let busy = !left.is_empty();
         let answer = tokio::select! {
@@ -209,21 +204,21 @@
                 Ok(Some(message)) => {
                     match &message {
                         ToOwner::Submit(job)
-                        | ToOwner::SubmitIn(_, job)
-                        | ToOwner::SubmitOf(Submission { job, .. }) => {
+                        | ToOwner::SubmitToDomain(_, job)
+                        | ToOwner::SubmitWithDigest(Submission { job, .. }) => {
                             left.insert(job.id, job.segments.len());
                         }
                         ToOwner::Cancel(id) => {
                             left.remove(id);
                         }
                         ToOwner::Free(_) => {}
-                        ToOwner::Follow => {
-                            passing.until = Some(Instant::now() + FOLLOW);
+                        ToOwner::SubscribeNews => {
+                            feed.until = Some(Instant::now() + NEWS_SUBSCRIPTION);
                             news.mark_changed();
                             continue;
                         }
                     }
-                    owner.tell(OwnerEvent::Told(origin, message, replies.clone()));
+                    owner.tell(OwnerEvent::Message(origin, message, replies.clone()));
                     continue;
                 }
                 Ok(None) | Err(_) => break,
@@ -232,9 +227,9 @@
                 Some(answer) => answer,
                 None => break,
             },
-            _ = pulse.tick(), if busy => FromOwner::Pulse,
-            Ok(()) = news.changed(), if passing.is_asked() => {
-                match passing.next(&news.borrow_and_update()) {
+            _ = heartbeat.tick(), if busy => FromOwner::Heartbeat,
+            Ok(()) = news.changed(), if feed.is_active() => {
+                match feed.next(&news.borrow_and_update()) {
                     Some(relay) => FromOwner::News(Box::new(relay)),
                     None => continue,
                 }
@@ -257,28 +252,28 @@
             break;
         }
     }
-    owner.tell(OwnerEvent::Left(origin));
+    owner.tell(OwnerEvent::Disconnected(origin));
 }
 
-/// The news that one submitter is told.
+/// The registry's news that is sent to one submitter.
 #[derive(Default)]
-struct Passing {
+struct NewsFeed {
     until: Option<Instant>,
-    told: (Stamp, Stamp),
+    sent: (Stamp, Stamp),
 }
 
-impl Passing {
-    fn is_asked(&self) -> bool {
+impl NewsFeed {
+    fn is_active(&self) -> bool {
         self.until.is_some_and(|it| Instant::now() < it)
     }
 
-    /// The news to pass on, if there are any that the submitter was not told.
+    /// Returns the news to send, if the submitter does not have it yet.
     fn next(&mut self, news: &News) -> Option<Relay> {
         let newest = (news.seated, news.listed);
-        if newest == self.told {
+        if newest == self.sent {
             return None;
         }
-        self.told = newest;
+        self.sent = newest;
         Some(news.relay())
     }
 }
--- a/crates/gateway/src/batch/message.rs
+++ b/crates/gateway/src/batch/message.rs
@@ -1,4 +1,4 @@
-//! What entries tell the owner of a service, and what it answers.
+//! The messages between entries and the owner of a service.
 
 use registry::{Relay, RequestDigest};
 use serde::{Deserialize, Serialize};
@@ -10,19 +10,19 @@
 #[cfg(test)]
 mod tests;
 
-/// What the pieces of a job work on.
+/// The input that the pieces of a job work on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum JobInput {
     /// The key of the request.
     Key(String),
-    /// Results of stages before.
+    /// The handles of results of earlier stages.
     Results(Vec<String>),
 }
 
 /// The pieces of one stage of one request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Job {
-    /// The submitting entry's number of the job.
+    /// The job's number, chosen by the submitting entry.
     pub(crate) id: u64,
     pub(crate) service: String,
     pub(crate) attempt: String,
@@ -31,115 +31,119 @@
     pub(crate) input: JobInput,
     /// The size of one result in bytes.
     pub(crate) size: u64,
-    /// The failure domain in which the inputs are, or the results are used.
+    /// The failure domain that stores the inputs or uses the results.
     pub(crate) domain: Option<String>,
-    /// The bytes that cross domains for a piece that is made in another one.
+    /// The bytes that cross failure domains if a piece is made in another domain.
     pub(crate) weight: u64,
     /// The rank of the request; 0 goes first.
     pub(crate) rank: u8,
-    /// When the results should be there, in ms from now; past if negative.
+    /// When the results are due, in ms from now; negative if that has passed.
     pub(crate) due_ms: i64,
-    /// When they are of no use any more, in ms from now.
-    pub(crate) left_ms: u64,
-    /// Whether the pieces were handed to another owner before.
-    pub(crate) again: bool,
+    /// When the results become useless, in ms from now.
+    pub(crate) remaining_ms: u64,
+    /// Whether the pieces were submitted to another owner before.
+    pub(crate) resubmitted: bool,
 }
 
-/// What an entry tells an owner.
+/// A message from an entry to an owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum ToOwner {
-    /// Asks for the pieces of a job.
+    /// Submits a job.
     Submit(Job),
-    /// Gives a job up.
+    /// Cancels a job.
     Cancel(u64),
-    /// Gives results up.
+    /// Releases results.
     Free(Vec<String>),
-    /// Asks for the registry's news for [`FOLLOW`](super::link::FOLLOW): the sender has no member.
-    Follow,
-    /// Asks for the pieces of a job, to be made in the section of this failure domain.
-    SubmitIn(String, Job),
-    /// Asks for the pieces of a job of a request that is told apart from others.
-    SubmitOf(Submission),
+    /// Asks for the registry's news for the duration of
+    /// [`NEWS_SUBSCRIPTION`](super::link::NEWS_SUBSCRIPTION), because the sender is connected to no
+    /// registry member.
+    SubscribeNews,
+    /// Submits a job to the section of this failure domain.
+    SubmitToDomain(String, Job),
+    /// Submits a job with the digest of its request.
+    SubmitWithDigest(Submission),
 }
 
-/// A job with what it is for.
+/// A job with its section and its request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Submission {
-    /// The failure domain of the section in which it is to be made, where the service is split.
+    /// The failure domain of the section that the job is for, if the service is split.
     pub(crate) domain: Option<String>,
-    /// The request.
+    /// The digest of the request.
     pub(crate) digest: RequestDigest,
     pub(crate) job: Job,
 }
 
-/// The level of an owner that knows sections.
-pub(crate) const SECTIONS: u8 = 1;
+/// The protocol level from which entries know sections.
+pub(crate) const LEVEL_SECTIONS: u8 = 1;
 
-/// The level of an owner that counts the upstreams that end under a request.
-pub(crate) const REQUESTS: u8 = 3;
+/// The protocol level from which owners count the upstreams that end while they run a request.
+pub(crate) const LEVEL_REQUESTS: u8 = 3;
 
 impl ToOwner {
-    /// What an owner of this level can read: one that knows no sections makes the pieces anywhere.
+    /// Converts the message to one that an owner of this level can read. An owner that knows no
+    /// sections runs the pieces anywhere.
     pub(crate) fn at_level(self, level: u8) -> Self {
         match self {
-            Self::SubmitOf(it) if level < REQUESTS => match it.domain {
-                Some(domain) => Self::SubmitIn(domain, it.job).at_level(level),
+            Self::SubmitWithDigest(it) if level < LEVEL_REQUESTS => match it.domain {
+                Some(domain) => Self::SubmitToDomain(domain, it.job).at_level(level),
                 None => Self::Submit(it.job),
             },
-            Self::SubmitIn(_, job) if level < SECTIONS => Self::Submit(job),
+            Self::SubmitToDomain(_, job) if level < LEVEL_SECTIONS => Self::Submit(job),
             message => message,
         }
     }
 }
 
-/// The pieces of a job that ended together, mostly in one call.
+/// The results of pieces of a job that completed together, usually in one call.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct PiecesDone {
-    /// The submitting entry's number of the job.
+    /// The job's number, chosen by the submitting entry.
     pub(crate) id: u64,
-    /// The number and the result of each piece.
+    /// The index and the result of each piece.
     pub(crate) results: Vec<(u32, Result<String, PieceFailure>)>,
-    /// How long they waited at the owner before their call, in ms.
+    /// How long the pieces waited at the owner before their call, in ms.
     pub(crate) wait_ms: u32,
-    /// How long their call took, in ms.
+    /// How long the call took, in ms.
     pub(crate) call_ms: u32,
 }
 
-/// What an owner tells an entry.
+/// A message from an owner to an entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum FromOwner {
-    /// The owner ends and takes no more jobs.
+    /// The owner is shutting down and did not accept the job.
     Refused(u64),
-    /// The job was taken.
+    /// The owner accepted the job.
     Accepted(u64),
     /// The upstreams have fetched the inputs of all pieces of a job.
     Fetched(u64),
-    /// Results of some pieces of a job.
+    /// The results of some pieces of a job.
     Results(PiecesDone),
-    /// The owner lives and works on jobs of this entry.
-    Pulse,
-    /// How long pieces of a service wait at this owner, by rank, in ms.
+    /// The owner is alive and works on jobs of this entry.
+    Heartbeat,
+    /// The expected wait of pieces of a service at this owner, by rank, in ms.
     Backlog(String, [u32; RANKS]),
-    /// The registry's news, as the owner knows them.
+    /// The registry's news as the owner knows it.
     News(Box<Relay>),
-    /// What the pieces of a section wait and need.
-    Section(SectionNews),
+    /// The backlog of a section.
+    SectionBacklog(SectionBacklog),
 }
 
-/// What the pieces of a section wait and need, as its owner sees it.
+/// The backlog of a section as its owner sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct SectionNews {
+pub(crate) struct SectionBacklog {
     pub(crate) service: String,
-    /// The failure domain, where the service is split.
+    /// The failure domain, if the service is split.
     pub(crate) domain: Option<String>,
     pub(crate) backlog: Backlog,
 }
 
 impl FromOwner {
-    /// What an entry of this level can read: one that knows no sections knows waits of whole services.
+    /// Converts the message to one that an entry of this level can read, if there is one. An entry
+    /// that knows no sections only reads the waits of whole services.
     pub(crate) fn at_level(self, level: u8) -> Option<Self> {
         match self {
-            Self::Section(news) if level < SECTIONS => {
+            Self::SectionBacklog(news) if level < LEVEL_SECTIONS => {
                 news.domain.is_none().then_some(Self::Backlog(news.service, news.backlog.waits))
             }
             message => Some(message),
--- a/crates/gateway/src/batch/message/tests.rs
+++ b/crates/gateway/src/batch/message/tests.rs
@@ -1,4 +1,4 @@
-//! What a release that knows no sections is told.
+//! Tests of the messages that are sent to earlier releases.
 
 use super::*;
 
@@ -15,20 +15,20 @@
         weight: 0,
         rank: 0,
         due_ms: 0,
-        left_ms: 0,
-        again: false,
+        remaining_ms: 0,
+        resubmitted: false,
     }
 }
 
 fn news(domain: Option<&str>) -> FromOwner {
-    FromOwner::Section(SectionNews {
+    FromOwner::SectionBacklog(SectionBacklog {
         service: "s".to_owned(),
         domain: domain.map(str::to_owned),
         backlog: Backlog { waits: [5; RANKS], timely: [1; RANKS], need: 3 },
     })
 }
 
-/// A job as an owner of some level gets it.
+/// The form of a job that an owner of some level gets.
 struct JobCase {
     name: &'static str,
     domain: Option<&'static str>,
@@ -38,22 +38,27 @@
 
 const JOBS: &[JobCase] = &[
     JobCase { name: "split, first release", domain: Some("d"), level: 0, told: "job" },
-    JobCase { name: "split, sections", domain: Some("d"), level: SECTIONS, told: "job in d" },
-    JobCase { name: "whole, sections", domain: None, level: SECTIONS, told: "job" },
-    JobCase { name: "split", domain: Some("d"), level: REQUESTS, told: "job of a request in d" },
-    JobCase { name: "whole", domain: None, level: REQUESTS, told: "job of a request" },
+    JobCase { name: "split, sections", domain: Some("d"), level: LEVEL_SECTIONS, told: "job in d" },
+    JobCase { name: "whole, sections", domain: None, level: LEVEL_SECTIONS, told: "job" },
+    JobCase {
+        name: "split",
+        domain: Some("d"),
+        level: LEVEL_REQUESTS,
+        told: "job of a request in d",
+    },
+    JobCase { name: "whole", domain: None, level: LEVEL_REQUESTS, told: "job of a request" },
 ];
 
-/// An owner of an earlier release can't read a job, and ends the connection.
+/// An owner of an earlier release that gets a message which it can't read ends the connection.
 #[test]
 fn jobs_are_told_as_their_owner_can_read_them() {
     for JobCase { name, domain, level, told } in JOBS {
         let domain = domain.map(str::to_owned);
         let submission = Submission { domain, digest: RequestDigest::default(), job: job() };
-        let (text, job) = match ToOwner::SubmitOf(submission).at_level(*level) {
+        let (text, job) = match ToOwner::SubmitWithDigest(submission).at_level(*level) {
             ToOwner::Submit(job) => ("job".to_owned(), job),
-            ToOwner::SubmitIn(domain, job) => (format!("job in {domain}"), job),
-            ToOwner::SubmitOf(it) => {
+            ToOwner::SubmitToDomain(domain, job) => (format!("job in {domain}"), job),
+            ToOwner::SubmitWithDigest(it) => {
                 let place = it.domain.map(|it| format!(" in {it}")).unwrap_or_default();
                 (format!("job of a request{place}"), it.job)
             }
@@ -80,13 +85,13 @@
 const CASES: &[Case] = &[
     Case { name: "whole, to the release before", domain: None, level: 0, told: Told::Waits },
     Case { name: "split, to the release before", domain: Some("d"), level: 0, told: Told::Nothing },
-    Case { name: "whole", domain: None, level: SECTIONS, told: Told::News },
-    Case { name: "split", domain: Some("d"), level: SECTIONS, told: Told::News },
+    Case { name: "whole", domain: None, level: LEVEL_SECTIONS, told: Told::News },
+    Case { name: "split", domain: Some("d"), level: LEVEL_SECTIONS, told: Told::News },
 ];
 
-/// Symptom looked for: in a rolling upgrade entries end each other's connections again and again.
-/// Sequence: an owner of this release tells its waits to an entry of the release before.
-/// Cause it would have: the entry can't read the message, and ends the connection.
+/// Guards against entries that end each other's connections again and again in a rolling upgrade:
+/// an owner of this release sends its waits to an entry of the release before, which can't read the
+/// message and ends the connection.
 #[test]
 fn news_of_sections_go_to_who_can_read_them() {
     for case in CASES {
@@ -95,7 +100,7 @@
             Some(FromOwner::Backlog(service, waits)) if service == "s" && waits[0] == 5 => {
                 Told::Waits
             }
-            Some(FromOwner::Section(_)) => Told::News,
+            Some(FromOwner::SectionBacklog(_)) => Told::News,
             Some(other) => panic!("{}: {other:?}", case.name),
         };
         assert_eq!(told, case.told, "{}", case.name);
--- a/crates/gateway/src/batch/mod.rs
+++ b/crates/gateway/src/batch/mod.rs
@@ -1,8 +1,9 @@
-//! Stage pieces of all entries meet in full calls.
+//! Combines the stage pieces of all entries into full calls.
 //!
-//! Each service has one owner among the live entries, the same from every entry's view. Entries
-//! hand it their pieces; it fills each call to an upstream by urgency, one call at a time at each
-//! upstream. An owner that is silent is passed over for the next in rank.
+//! Each service, or each section of a split service, has one owner among the live entries. All
+//! entries compute the same owner. They submit their pieces to it; the owner fills each call to an
+//! upstream in order of urgency and sends one call at a time to each upstream. If an owner does not
+//! answer, the entry with the next highest score takes its place.
 
 mod client;
 mod link;
--- a/crates/gateway/src/batch/owner.rs
+++ b/crates/gateway/src/batch/owner.rs
@@ -1,9 +1,9 @@
-//! The owner's side: queues the pieces of its services and drives the calls.
+//! The owner's side: queues the pieces of its sections and sends the calls.
 
 mod jobs;
+mod notify;
 mod results;
 mod room;
-mod tell;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -13,63 +13,63 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
 use crate::batch::message::{FromOwner, PiecesDone, ToOwner};
-use crate::batch::queue::{JobKey, Lane, NextCall, Piece, Queue};
+use crate::batch::queue::{JobKey, NextCall, Piece, Queue, Target};
 use crate::dialect::{Dialect, Handle, PieceAnswer, PieceFailure, RoomReport};
 use crate::exchange::{self, Fault};
 use crate::section::Section;
 use crate::shared::Shared;
 use crate::upstream::Upstream;
 
-use self::jobs::Asked;
-use self::room::Survey;
+use self::jobs::SubmitContext;
+use self::room::RoomQuery;
 
-/// How often waiting pieces are looked at besides events.
-const PERIOD: Duration = Duration::from_millis(25);
+/// How often the queues are checked if no event arrives.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How often entries are told how long pieces wait.
-const BACKLOG_PERIOD: Duration = Duration::from_millis(80);
+/// How often entries are sent the backlogs.
+const BACKLOG_INTERVAL: Duration = Duration::from_millis(80);
 
-/// A call that takes this many times its expected time, and [`OVERDUE`] more, is overdue: its
-/// pieces are sent elsewhere while it goes on.
+/// A call that takes this many times its expected time plus [`OVERDUE_SLACK`] is overdue: its
+/// pieces are sent to other upstreams while it goes on.
 const OVERDUE_FACTOR: f64 = 2.0;
 
 /// See [`OVERDUE_FACTOR`].
-const OVERDUE: Duration = Duration::from_millis(150);
+const OVERDUE_SLACK: Duration = Duration::from_millis(150);
 
-/// A call that takes this many times its expected time, and [`CALL_SLACK`] more, is given up.
-const CALL_FACTOR: u32 = 4;
+/// A call that takes this many times its expected time plus [`TIMEOUT_SLACK`] is abandoned.
+const TIMEOUT_FACTOR: u32 = 4;
 
-/// See [`CALL_FACTOR`].
-const CALL_SLACK: Duration = Duration::from_secs(1);
+/// See [`TIMEOUT_FACTOR`].
+const TIMEOUT_SLACK: Duration = Duration::from_secs(1);
 
-/// How long an upstream takes to fetch the inputs of a call, from its sending on. At 10 Gbit/s some
-/// ms; several calls may fetch from one maker at once.
-const FETCH: Duration = Duration::from_millis(150);
+/// How long an upstream takes to fetch the inputs of a call after it was sent. At 10 Gbit/s a fetch
+/// takes some ms, but several calls may fetch from one upstream at once.
+const INPUT_FETCH_TIME: Duration = Duration::from_millis(150);
 
-/// How long given-up results are collected before the upstream is told.
-const FREE_PERIOD: Duration = Duration::from_millis(30);
+/// How long released results are collected before their upstreams are told.
+const FREE_INTERVAL: Duration = Duration::from_millis(30);
 
 /// The origin of this entry's own jobs.
-pub(crate) const OWN: u64 = 0;
+pub(crate) const LOCAL_ORIGIN: u64 = 0;
 
-/// Where a job's answers go.
+/// The channel for the answers to a job.
 pub(crate) type Replies = mpsc::UnboundedSender<FromOwner>;
 
-/// What the owner is told.
+/// An event that the owner handles.
 pub(crate) enum OwnerEvent {
-    /// A connection, or this entry itself, tells something.
-    Told(u64, ToOwner, Replies),
+    /// A message from a connection, or from this entry itself.
+    Message(u64, ToOwner, Replies),
     /// A connection has ended.
-    Left(u64),
+    Disconnected(u64),
     /// A call has ended.
-    Ended(CallEnd),
-    /// An upstream told its room, or gave no answer.
-    Room(Arc<Upstream>, Section, Option<RoomReport>),
-    /// An upstream was told to drop results.
-    Freed(Arc<Upstream>, Vec<Handle>),
+    CallEnded(CallEnd),
+    /// An upstream reported its free space for results, or did not answer.
+    RoomReport(Arc<Upstream>, Section, Option<RoomReport>),
+    /// An upstream dropped results as requested.
+    ResultsFreed(Arc<Upstream>, Vec<Handle>),
 }
 
-/// The end of a call.
+/// The outcome of a call.
 pub(crate) struct CallEnd {
     section: Section,
     upstream: Arc<Upstream>,
@@ -79,58 +79,60 @@
     outcome: Result<PieceAnswer, Fault>,
 }
 
-/// What the owner needs.
+/// The dependencies of an owner.
 pub(crate) struct OwnerConfig<D> {
     pub(crate) shared: Arc<Shared<D>>,
 }
 
-/// The handle of a running owner.
+/// A handle to a running owner.
 #[derive(Clone)]
 pub(crate) struct Owner {
     events: mpsc::UnboundedSender<OwnerEvent>,
 }
 
-/// A job that is not done.
-struct Open {
+/// A job that is not completed.
+struct OpenJob {
     section: Section,
     replies: Replies,
     left: HashSet<u32>,
 }
 
-/// A call under way.
-struct Flying {
+/// A call in flight.
+struct InFlightCall {
     call: u64,
     section: Section,
-    overdue: Instant,
+    overdue_at: Instant,
     pieces: Vec<Piece>,
-    /// Whether it was found to be overdue.
-    overtaken: bool,
-    /// The pieces that were put back then, by job and number; others may make them.
-    again: HashSet<(JobKey, u32)>,
-    /// When its upstream has fetched the inputs, and whether the submitters were told.
-    fetched: Instant,
-    told_fetched: bool,
+    /// Whether the call was found to be overdue.
+    is_overdue: bool,
+    /// The pieces that were queued again when the call became overdue, by job and index. Other
+    /// upstreams may complete them.
+    requeued: HashSet<(JobKey, u32)>,
+    /// When the upstream is expected to have fetched the inputs, and whether the submitters were
+    /// told so.
+    fetched_at: Instant,
+    fetched_sent: bool,
 }
 
 struct State<D> {
     shared: Arc<Shared<D>>,
     events: mpsc::UnboundedSender<OwnerEvent>,
     queues: HashMap<Section, Queue>,
-    jobs: HashMap<JobKey, Open>,
-    flying: HashMap<Arc<str>, Flying>,
-    /// What is known of the room of each upstream.
-    surveys: HashMap<Arc<str>, Survey>,
+    jobs: HashMap<JobKey, OpenJob>,
+    in_flight: HashMap<Arc<str>, InFlightCall>,
+    /// The state of the query for free space at each upstream.
+    room_queries: HashMap<Arc<str>, RoomQuery>,
     calls: u64,
     free: HashMap<std::net::SocketAddr, Vec<Handle>>,
-    freed: Instant,
-    /// Where each connection's answers go.
+    freed_at: Instant,
+    /// The channel for the answers to each connection.
     peers: HashMap<u64, Replies>,
-    /// Results that are told at the end of the turn, those of one job together.
+    /// Results that are sent at the end of the step, with those of one job in one message.
     outbox: HashMap<JobKey, (Replies, PiecesDone)>,
-    /// Whether waiting jobs were handed back, since this entry ends.
+    /// Whether waiting jobs were returned to their entries because this entry is shutting down.
     handed_back: bool,
-    /// When backlogs were told last, and whether there were any.
-    told: (Instant, bool),
+    /// When the backlogs were last sent, and whether any piece was waiting then.
+    backlogs_sent: (Instant, bool),
 }
 
 impl Owner {
@@ -142,21 +144,21 @@
             events: events.clone(),
             queues: HashMap::new(),
             jobs: HashMap::new(),
-            flying: HashMap::new(),
-            surveys: HashMap::new(),
+            in_flight: HashMap::new(),
+            room_queries: HashMap::new(),
             calls: 0,
             free: HashMap::new(),
-            freed: Instant::now(),
+            freed_at: Instant::now(),
             peers: HashMap::new(),
             outbox: HashMap::new(),
             handed_back: false,
-            told: (Instant::now(), false),
+            backlogs_sent: (Instant::now(), false),
         };
         tokio::spawn(run(state, incoming));
         Self { events }
     }
 
-    /// Tells the owner something; it lives as long as the process.
+    /// Sends an event to the owner, which runs as long as the process.
     pub(crate) fn tell(&self, event: OwnerEvent) {
         // The owner's task ends only with the process.
         let _ = self.events.send(event);
@@ -164,58 +166,63 @@
 }
 
 async fn run<D: Dialect>(mut state: State<D>, mut incoming: mpsc::UnboundedReceiver<OwnerEvent>) {
-    let mut ticks = interval(PERIOD);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        let busy = !state.jobs.is_empty() || !state.free.is_empty() || state.told.1;
+        let busy = !state.jobs.is_empty() || !state.free.is_empty() || state.backlogs_sent.1;
         tokio::select! {
             event = incoming.recv() => {
                 let Some(event) = event else { return };
-                state.take(event);
+                state.handle(event);
                 while let Ok(event) = incoming.try_recv() {
-                    state.take(event);
+                    state.handle(event);
                 }
             }
             _ = ticks.tick(), if busy => {}
         }
-        state.turn();
+        state.step();
     }
 }
 
 impl<D: Dialect> State<D> {
-    fn take(&mut self, event: OwnerEvent) {
+    fn handle(&mut self, event: OwnerEvent) {
         match event {
-            OwnerEvent::Told(origin, ToOwner::Submit(job), replies) => {
-                self.submit(origin, Asked::default(), job, replies);
+            OwnerEvent::Message(origin, ToOwner::Submit(job), replies) => {
+                self.submit(origin, SubmitContext::default(), job, replies);
             }
-            OwnerEvent::Told(origin, ToOwner::SubmitIn(domain, job), replies) => {
-                self.submit(origin, Asked { domain: Some(domain), digest: None }, job, replies);
+            OwnerEvent::Message(origin, ToOwner::SubmitToDomain(domain, job), replies) => {
+                self.submit(
+                    origin,
+                    SubmitContext { domain: Some(domain), digest: None },
+                    job,
+                    replies,
+                );
             }
-            OwnerEvent::Told(origin, ToOwner::SubmitOf(it), replies) => {
-                let asked = Asked { domain: it.domain, digest: Some(it.digest) };
-                self.submit(origin, asked, it.job, replies);
+            OwnerEvent::Message(origin, ToOwner::SubmitWithDigest(it), replies) => {
+                let context = SubmitContext { domain: it.domain, digest: Some(it.digest) };
+                self.submit(origin, context, it.job, replies);
             }
-            OwnerEvent::Told(origin, ToOwner::Cancel(id), _) => {
+            OwnerEvent::Message(origin, ToOwner::Cancel(id), _) => {
                 let key = JobKey { origin, id };
                 self.jobs.remove(&key);
                 self.queues.values_mut().for_each(|it| it.cancel(key));
             }
-            OwnerEvent::Told(_, ToOwner::Free(handles), _) => self.give_up(handles),
-            // The connection passes news on by itself.
-            OwnerEvent::Told(_, ToOwner::Follow, _) => {}
-            OwnerEvent::Left(origin) => {
+            OwnerEvent::Message(_, ToOwner::Free(handles), _) => self.give_up(handles),
+            // The connection's own task sends the news.
+            OwnerEvent::Message(_, ToOwner::SubscribeNews, _) => {}
+            OwnerEvent::Disconnected(origin) => {
                 self.peers.remove(&origin);
                 self.jobs.retain(|key, _| key.origin != origin);
                 self.queues.values_mut().for_each(|it| it.drop_jobs(|key| key.origin == origin));
             }
-            OwnerEvent::Ended(end) => self.ended(end),
-            OwnerEvent::Room(upstream, section, report) => {
+            OwnerEvent::CallEnded(end) => self.call_ended(end),
+            OwnerEvent::RoomReport(upstream, section, report) => {
                 self.take_room(&upstream, &section, report);
             }
-            OwnerEvent::Freed(upstream, handles) => {
+            OwnerEvent::ResultsFreed(upstream, handles) => {
                 let section = self.shared.directory().section_of(&upstream);
                 if let Some(queue) = self.queues.get_mut(&section) {
-                    queue.freed(&upstream.id, &handles);
+                    queue.results_freed(&upstream.id, &handles);
                 }
             }
         }
@@ -229,49 +236,50 @@
         }
     }
 
-    /// Sends what should go out now.
-    fn turn(&mut self) {
+    /// Sends everything that is due: calls, results, backlogs and released results.
+    fn step(&mut self) {
         let now = Instant::now();
         if self.shared.drain.is_ending() && !self.handed_back {
             self.hand_back();
         }
         self.requeue_overdue(now);
-        self.tell_fetched(now);
+        self.send_fetched(now);
         let sections: Vec<Section> = self.queues.keys().cloned().collect();
         for section in sections {
-            self.end_late(&section, now);
+            self.fail_late(&section, now);
             self.send_calls(&section, now);
         }
-        self.tell_results();
-        if now.duration_since(self.told.0) >= BACKLOG_PERIOD {
-            self.tell_backlogs(now);
+        self.send_results();
+        if now.duration_since(self.backlogs_sent.0) >= BACKLOG_INTERVAL {
+            self.send_backlogs(now);
         }
-        if !self.free.is_empty() && now.duration_since(self.freed) >= FREE_PERIOD {
-            self.freed = now;
+        if !self.free.is_empty() && now.duration_since(self.freed_at) >= FREE_INTERVAL {
+            self.freed_at = now;
             self.send_free();
         }
     }
 
-    /// Ends the pieces whose deadline has passed, and those that can't be made before it.
-    fn end_late(&mut self, section: &Section, now: Instant) {
-        let lanes = self.lanes(section, now);
+    /// Fails the pieces whose deadline has passed or that cannot be completed before it.
+    fn fail_late(&mut self, section: &Section, now: Instant) {
+        let available = self.available_upstreams(section, now);
         let Some(queue) = self.queues.get_mut(section) else { return };
         let mut late = queue.take_expired(now);
-        late.append(&mut queue.take_infeasible(lanes, now));
+        late.append(&mut queue.take_infeasible(available, now));
         for piece in late {
             self.deliver(&piece, Err(PieceFailure::Late), now, Duration::ZERO);
         }
     }
 
-    /// How many upstreams of a section take calls.
-    fn lanes(&self, section: &Section, now: Instant) -> usize {
+    /// Returns how many upstreams of a section accept calls.
+    fn available_upstreams(&self, section: &Section, now: Instant) -> usize {
         let upstreams = self.shared.directory().members(section);
         upstreams.iter().filter(|it| it.is_open() && !it.is_paused(now)).count()
     }
 
-    /// Whether an upstream works on a call of another section: the list may have changed meanwhile.
-    fn works_elsewhere(&self, upstream: &str, section: &Section) -> bool {
-        self.flying.get(upstream).is_some_and(|it| it.section != *section)
+    /// Returns whether an upstream works on a call of another section. This happens when the list
+    /// of upstreams has changed since the call was sent.
+    fn is_used_elsewhere(&self, upstream: &str, section: &Section) -> bool {
+        self.in_flight.get(upstream).is_some_and(|it| it.section != *section)
     }
 
     fn send_calls(&mut self, section: &Section, now: Instant) {
@@ -279,21 +287,21 @@
             return;
         }
         let upstreams = self.shared.directory().members(section);
-        let lanes: Vec<Lane> = upstreams
+        let targets: Vec<Target> = upstreams
             .iter()
-            .map(|it| Lane {
+            .map(|it| Target {
                 id: Arc::clone(&it.id),
                 domain: Arc::clone(&it.domain),
-                open: it.is_open()
+                available: it.is_open()
                     && !it.is_paused(now)
-                    && !self.works_elsewhere(&it.id, section)
-                    && self.is_surveyed(it, section, now),
+                    && !self.is_used_elsewhere(&it.id, section)
+                    && self.is_room_known(it, section, now),
             })
             .collect();
         let Some(queue) = self.queues.get_mut(section) else { return };
         queue.retain(|id| upstreams.iter().any(|it| &*it.id == id));
         let mut calls = Vec::new();
-        while let Some(next) = queue.next(&lanes, now) {
+        while let Some(next) = queue.next_call(&targets, now) {
             calls.push(next);
         }
         for next in calls {
@@ -304,18 +312,18 @@
 
     fn send(&mut self, upstream: Arc<Upstream>, section: &Section, next: NextCall, now: Instant) {
         self.calls += 1;
-        self.uses(&upstream.id, now);
-        let flying = Flying {
+        self.note_call(&upstream.id, now);
+        let in_flight = InFlightCall {
             call: self.calls,
             section: section.clone(),
-            overdue: now + next.expected.mul_f64(OVERDUE_FACTOR) + OVERDUE,
+            overdue_at: now + next.expected.mul_f64(OVERDUE_FACTOR) + OVERDUE_SLACK,
             pieces: next.pieces.clone(),
-            overtaken: false,
-            again: HashSet::new(),
-            fetched: now + FETCH,
-            told_fetched: false,
+            is_overdue: false,
+            requeued: HashSet::new(),
+            fetched_at: now + INPUT_FETCH_TIME,
+            fetched_sent: false,
         };
-        self.flying.insert(Arc::clone(&next.upstream), flying);
+        self.in_flight.insert(Arc::clone(&next.upstream), in_flight);
         tokio::spawn(call::<D>(self.events.clone(), upstream, section.clone(), self.calls, next));
     }
 }
@@ -328,11 +336,11 @@
     next: NextCall,
 ) {
     let start = Instant::now();
-    let calls: Vec<_> = next.pieces.iter().map(|it| it.call(start)).collect();
-    let by = start + next.expected * CALL_FACTOR + CALL_SLACK;
+    let calls: Vec<_> = next.pieces.iter().map(|it| it.to_call(start)).collect();
+    let by = start + next.expected * TIMEOUT_FACTOR + TIMEOUT_SLACK;
     let outcome = exchange::pieces::<D>(&upstream, &calls, by).await;
     let took = start.elapsed();
     let end = CallEnd { section, upstream, call, pieces: next.pieces, took, outcome };
     // The owner's task ends only with the process.
-    let _ = events.send(OwnerEvent::Ended(end));
+    let _ = events.send(OwnerEvent::CallEnded(end));
 }
--- a/crates/gateway/src/batch/owner/jobs.rs
+++ b/crates/gateway/src/batch/owner/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that come in, and those that are handed back when this entry ends.
+//! Accepts jobs, and returns them when this entry shuts down.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -7,33 +7,39 @@
 use registry::RequestDigest;
 use tokio::time::Instant;
 
-use super::{OWN, Open, Replies, State};
+use super::{LOCAL_ORIGIN, OpenJob, Replies, State};
 use crate::batch::message::{FromOwner, Job, JobInput, PiecesDone};
 use crate::batch::queue::{JobKey, Piece, Queue};
 use crate::dialect::{Dialect, Handle, PieceFailure, PieceInput};
 use crate::section::Section;
 
-/// What else a job was submitted with; an entry of an earlier release tells less.
+/// What a job was submitted with. Entries of earlier releases send less.
 #[derive(Debug, Default)]
-pub(super) struct Asked {
-    /// The failure domain of its section, where the service is split.
+pub(super) struct SubmitContext {
+    /// The failure domain of the job's section, if the service is split.
     pub(super) domain: Option<String>,
-    /// The request that it is for.
+    /// The digest of the request.
     pub(super) digest: Option<RequestDigest>,
 }
 
 impl<D: Dialect> State<D> {
-    /// Takes a job: its pieces wait in the queue of their section.
-    pub(super) fn submit(&mut self, origin: u64, asked: Asked, job: Job, replies: Replies) {
-        if origin != OWN {
+    /// Accepts a job and queues its pieces in its section.
+    pub(super) fn submit(
+        &mut self,
+        origin: u64,
+        context: SubmitContext,
+        job: Job,
+        replies: Replies,
+    ) {
+        if origin != LOCAL_ORIGIN {
             self.peers.entry(origin).or_insert_with(|| replies.clone());
         }
         let now = Instant::now();
         let plan = self.shared.plan();
         let service: Arc<str> = job.service.as_str().into();
         let spec = plan.as_ref().and_then(|it| it.services.get(&service)).and_then(|it| it.batch);
-        // The submitter may have ended meanwhile, here and below.
-        if self.shared.drain.is_ending() && origin != OWN {
+        // The submitter may have ended meanwhile, also for the replies below.
+        if self.shared.drain.is_ending() && origin != LOCAL_ORIGIN {
             let _ = replies.send(FromOwner::Refused(job.id));
             return;
         }
@@ -45,37 +51,39 @@
             return;
         };
         self.shared.budget.request(&service, now);
-        let section = match asked.domain {
+        let section = match context.domain {
             Some(domain) => Section { service, domain: Some(domain.into()) },
-            // Of an entry that knows no sections. Another owner works with the rest of the upstreams.
+            // The submitter knows no sections. Another owner uses the other upstreams.
             None => self.own_section(&service),
         };
         let key = JobKey { origin, id: job.id };
         let left = job.segments.iter().copied().collect();
-        let alone = asked.digest.is_some_and(|it| self.shared.suspects.is_suspected(&it));
+        let isolated = context.digest.is_some_and(|it| self.shared.suspects.is_suspected(&it));
         let queue = self.queues.entry(section.clone()).or_insert_with(|| Queue::new(spec));
         queue.set_spec(spec);
         for piece in pieces(key, job, now) {
-            queue.push(Piece { request: asked.digest, alone, ..piece });
+            queue.push(Piece { request: context.digest, isolated, ..piece });
         }
-        self.jobs.insert(key, Open { section, replies, left });
+        self.jobs.insert(key, OpenJob { section, replies, left });
     }
 
-    /// The section of this entry's failure domain, where a service is split.
+    /// Returns the section of this entry's failure domain if the service is split, else the whole
+    /// service.
     fn own_section(&self, service: &Arc<str>) -> Section {
         let sections = self.shared.directory().sections(service).into_iter();
         let mut own = sections.filter(|it| it.domain.as_ref() == Some(&self.shared.domain));
         own.next().unwrap_or_else(|| Section::whole(service))
     }
 
-    /// Hands the jobs of which nothing was sent yet back to other entries, once this one ends.
+    /// Returns jobs of which no piece is in flight to their entries, because this entry is shutting
+    /// down.
     pub(super) fn hand_back(&mut self) {
         self.handed_back = true;
-        let flying: HashSet<JobKey> =
-            self.flying.values().flat_map(|it| &it.pieces).map(|it| it.job).collect();
+        let in_flight: HashSet<JobKey> =
+            self.in_flight.values().flat_map(|it| &it.pieces).map(|it| it.job).collect();
         let mut back = HashSet::new();
         self.jobs.retain(|key, open| {
-            if key.origin == OWN || flying.contains(key) {
+            if key.origin == LOCAL_ORIGIN || in_flight.contains(key) {
                 return true;
             }
             back.insert(*key);
@@ -83,12 +91,12 @@
             let _ = open.replies.send(FromOwner::Refused(key.id));
             false
         });
-        log::info!(jobs = back.len(); "handed waiting jobs back");
+        log::info!(jobs = back.len(); "returned waiting jobs to their entries because this entry is shutting down");
         self.queues.values_mut().for_each(|it| it.drop_jobs(|key| back.contains(&key)));
     }
 }
 
-/// Makes the pieces of a job that has come now.
+/// Creates the pieces of a job that arrived now.
 fn pieces(key: JobKey, job: Job, now: Instant) -> impl Iterator<Item = Piece> {
     let attempt: Arc<str> = job.attempt.into();
     let input = match job.input {
@@ -109,15 +117,15 @@
         segment,
         input: input.clone(),
         rank: job.rank,
-        size: job.size,
+        result_bytes: job.size,
         domain: domain.clone(),
-        weight: job.weight,
+        transfer_bytes: job.weight,
         due,
-        deadline: now + Duration::from_millis(job.left_ms),
-        since: now,
-        sent: u32::from(job.again),
+        deadline: now + Duration::from_millis(job.remaining_ms),
+        queued_at: now,
+        sends: u32::from(job.resubmitted),
         request: None,
-        alone: false,
-        lost: 0,
+        isolated: false,
+        lost_calls: 0,
     })
 }
--- a/crates/gateway/src/batch/owner/tell.rs
+++ b/crates/gateway/src/batch/owner/notify.rs
@@ -1,4 +1,5 @@
-//! What an owner tells besides results: waits, fetched inputs, and results that are given up.
+//! What an owner sends besides calls and results: backlogs, notices of fetched inputs, and releases
+//! of results.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -7,52 +8,52 @@
 
 use super::{OwnerEvent, State};
 use crate::backlog::Backlog;
-use crate::batch::message::{FromOwner, SectionNews};
+use crate::batch::message::{FromOwner, SectionBacklog};
 use crate::dialect::{Dialect, PieceInput};
 use crate::exchange;
 
 impl<D: Dialect> State<D> {
-    /// Tells every entry how long pieces wait, so that it can refuse what would come too late.
-    pub(super) fn tell_backlogs(&mut self, now: Instant) {
+    /// Sends every entry the backlogs, so that entries can refuse requests that would be late.
+    pub(super) fn send_backlogs(&mut self, now: Instant) {
         let mut any = false;
-        let had = self.told.1;
+        let had = self.backlogs_sent.1;
         for (section, queue) in &self.queues {
             if queue.is_empty() && !had {
                 continue;
             }
             any |= !queue.is_empty();
-            let lanes = self.lanes(section, now);
+            let available = self.available_upstreams(section, now);
             let ms = |it: Duration| it.as_millis() as u32;
             let backlog = Backlog {
-                waits: queue.backlog(lanes).map(ms),
-                timely: queue.timely_backlog(lanes, now).map(ms),
-                need: ms(queue.need(lanes)),
+                waits: queue.backlog(available).map(ms),
+                timely: queue.timely_backlog(available, now).map(ms),
+                need: ms(queue.min_latency(available)),
             };
             self.shared.backlogs.set(section.clone(), backlog);
-            let news = SectionNews {
+            let news = SectionBacklog {
                 service: section.service.to_string(),
                 domain: section.domain.as_ref().map(ToString::to_string),
                 backlog,
             };
             for peer in self.peers.values() {
-                // A connection that has ended is removed by its own event.
-                let _ = peer.send(FromOwner::Section(news.clone()));
+                // The event for a connection that has ended removes it here.
+                let _ = peer.send(FromOwner::SectionBacklog(news.clone()));
             }
         }
-        self.told = (now, any);
+        self.backlogs_sent = (now, any);
     }
 
-    /// Tells the submitters of calls under way once their inputs are fetched.
-    pub(super) fn tell_fetched(&mut self, now: Instant) {
-        for flying in self.flying.values_mut() {
-            if flying.told_fetched || now < flying.fetched || flying.overtaken {
+    /// Tells the submitters of calls in flight when the inputs have been fetched.
+    pub(super) fn send_fetched(&mut self, now: Instant) {
+        for call in self.in_flight.values_mut() {
+            if call.fetched_sent || now < call.fetched_at || call.is_overdue {
                 continue;
             }
-            flying.told_fetched = true;
+            call.fetched_sent = true;
             let mut jobs = HashSet::new();
-            for piece in &flying.pieces {
+            for piece in &call.pieces {
                 let has_inputs = matches!(piece.input, PieceInput::Results(_));
-                let waits = self.queues.values().any(|it| it.has(piece.job));
+                let waits = self.queues.values().any(|it| it.has_job(piece.job));
                 if !has_inputs || waits || !jobs.insert(piece.job) {
                     continue;
                 }
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Tells upstreams which results nobody needs any more.
+    /// Tells upstreams which results are no longer needed.
     pub(super) fn send_free(&mut self) {
         let directory = self.shared.directory();
         for (address, handles) in self.free.drain() {
@@ -74,9 +75,9 @@
             tokio::spawn(async move {
                 match exchange::free::<D>(&keeper, &handles).await {
                     // The owner's task ends only with the process.
-                    Ok(()) => drop(events.send(OwnerEvent::Freed(keeper, handles))),
+                    Ok(()) => drop(events.send(OwnerEvent::ResultsFreed(keeper, handles))),
                     Err(fault) => log::debug!(upstream:% = keeper.id, cause:% = fault;
-                        "results could not be given up; they end by themselves"),
+                        "could not tell an upstream to drop results; they expire on their own"),
                 }
             });
         }
--- a/crates/gateway/src/batch/owner/results.rs
+++ b/crates/gateway/src/batch/owner/results.rs
@@ -1,4 +1,4 @@
-//! What comes of calls: results are delivered once, lost pieces go back into their queue.
+//! Handles the outcomes of calls: delivers each result once, and queues lost pieces again.
 
 use std::collections::{BTreeSet, HashSet};
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use registry::RequestDigest;
 use tokio::time::Instant;
 
-use super::{CallEnd, Flying, State};
+use super::{CallEnd, InFlightCall, State};
 use crate::batch::message::{FromOwner, PiecesDone};
 use crate::batch::queue::{JobKey, Piece};
 use crate::dialect::{Dialect, PieceFailure, PieceResult};
@@ -16,44 +16,45 @@
 use crate::section::Section;
 use crate::suspects::RunTimes;
 
-/// How often one piece may be sent.
-const SENDS: u32 = 3;
+/// How often a piece may be sent.
+const MAX_SENDS: u32 = 3;
 
-/// After so many lost calls a piece is called with pieces of its own job only. One call is lost with its
-/// upstream now and then, and calls of few pieces cost nearly as much as full ones.
-const LOST_ALONE: u32 = 2;
+/// After this many lost calls a piece is only sent with pieces of its own job. A single call is now
+/// and then lost with its upstream, and calls of few pieces cost nearly as much as full ones.
+const ISOLATE_AFTER: u32 = 2;
 
 impl<D: Dialect> State<D> {
-    /// Puts the pieces of calls that are overdue back, where they may be sent again; the others stay with
+    /// Queues the pieces of overdue calls again where they may be sent again. The others stay with
     /// their call, which may still answer.
     pub(super) fn requeue_overdue(&mut self, now: Instant) {
-        let is_late = |it: &Flying| !it.overtaken && now >= it.overdue;
+        let is_late = |it: &InFlightCall| !it.is_overdue && now >= it.overdue_at;
         let late: Vec<Arc<str>> =
-            self.flying.iter().filter(|it| is_late(it.1)).map(|it| Arc::clone(it.0)).collect();
+            self.in_flight.iter().filter(|it| is_late(it.1)).map(|it| Arc::clone(it.0)).collect();
         for upstream in late {
-            let Some(mut flying) = self.flying.remove(&upstream) else { continue };
-            flying.overtaken = true;
-            for piece in &flying.pieces {
-                if self.put_again(piece, now) {
-                    flying.again.insert((piece.job, piece.segment));
+            let Some(mut call) = self.in_flight.remove(&upstream) else { continue };
+            call.is_overdue = true;
+            for piece in &call.pieces {
+                if self.try_requeue(piece, now) {
+                    call.requeued.insert((piece.job, piece.segment));
                 }
             }
-            self.flying.insert(upstream, flying);
+            self.in_flight.insert(upstream, call);
         }
     }
 
-    /// Puts a piece back, or fails it where it may not be sent again.
-    fn requeue(&mut self, piece: &Piece, now: Instant) {
-        if !self.put_again(piece, now) {
+    /// Queues a piece again, or fails it if it may not be sent again.
+    fn requeue_or_fail(&mut self, piece: &Piece, now: Instant) {
+        if !self.try_requeue(piece, now) {
             self.deliver(piece, Err(PieceFailure::Failed), now, Duration::ZERO);
         }
     }
 
-    /// Puts a piece that is still wanted back, if it may be sent again; returns whether it was.
-    fn put_again(&mut self, piece: &Piece, now: Instant) -> bool {
+    /// Queues a piece again if it is still wanted and may be sent again. Returns whether it was
+    /// queued.
+    fn try_requeue(&mut self, piece: &Piece, now: Instant) -> bool {
         let Some(open) = self.jobs.get(&piece.job) else { return false };
         let held = piece.request.is_some_and(|it| self.shared.suspects.is_held(&it));
-        if held || piece.sent >= SENDS || !open.left.contains(&piece.segment) {
+        if held || piece.sends >= MAX_SENDS || !open.left.contains(&piece.segment) {
             return false;
         }
         let section = open.section.clone();
@@ -71,31 +72,32 @@
         self.jobs.get(&piece.job).map(|it| it.section.clone())
     }
 
-    pub(super) fn ended(&mut self, mut end: CallEnd) {
+    pub(super) fn call_ended(&mut self, mut end: CallEnd) {
         let now = Instant::now();
-        let flying = self.flying.remove(&end.upstream.id);
-        let again = flying.filter(|it| it.call == end.call).map(|it| it.again).unwrap_or_default();
+        let call = self.in_flight.remove(&end.upstream.id);
+        let requeued =
+            call.filter(|it| it.call == end.call).map(|it| it.requeued).unwrap_or_default();
         let whole = end.outcome.is_ok();
         if let Some(queue) = self.queues.get_mut(&end.section) {
-            queue.ended(&end.upstream.id, end.pieces.len(), whole.then_some(end.took), now);
+            queue.call_ended(&end.upstream.id, end.pieces.len(), whole.then_some(end.took), now);
         }
         match end.outcome {
             Ok(ref answer) => {
                 let life = end.upstream.observe(answer.born);
                 if life == Life::Past {
                     log::warn!(upstream:% = end.upstream.id, pieces = end.pieces.len();
-                        "results of a life that has ended");
-                    self.requeue_all(&end.pieces, &again, now);
+                        "ignored results from an earlier incarnation of an upstream; requeuing their pieces");
+                    self.requeue_all(&end.pieces, &requeued, now);
                     return;
                 }
                 if life == Life::New
                     && let Some(queue) = self.queues.get_mut(&end.section)
                 {
-                    queue.reborn(&end.upstream.id);
+                    queue.restarted(&end.upstream.id);
                 }
                 end.upstream.succeeded();
                 for (piece, result) in end.pieces.iter().zip(&answer.results) {
-                    let elsewhere = again.contains(&(piece.job, piece.segment));
+                    let elsewhere = requeued.contains(&(piece.job, piece.segment));
                     self.take_result(&end, piece, result.clone(), elsewhere, now);
                 }
             }
@@ -110,24 +112,27 @@
                     Cause::Lost => self.note_lost(&mut end, now),
                     Cause::Refused(_) => {
                         if let Some(queue) = self.queues.get_mut(&end.section) {
-                            queue.full(&end.upstream.id, now);
+                            queue.call_refused(&end.upstream.id, now);
                         }
                     }
                     _ => {}
                 }
-                if fault.unreachable && again.is_empty() && self.lanes(&end.section, now) > 0 {
-                    self.put_back(end.pieces);
+                if fault.unreachable
+                    && requeued.is_empty()
+                    && self.available_upstreams(&end.section, now) > 0
+                {
+                    self.requeue_unsent(end.pieces);
                 } else {
-                    self.requeue_all(&end.pieces, &again, now);
+                    self.requeue_all(&end.pieces, &requeued, now);
                 }
             }
         }
     }
 
-    /// Notes that a call lost its connection: one of its requests may have ended the upstream.
+    /// Records that a call lost its connection. One of its requests may have ended the upstream.
     fn note_lost(&mut self, end: &mut CallEnd, now: Instant) {
         if let Some(queue) = self.queues.get_mut(&end.section) {
-            queue.lost(&end.upstream.id, now);
+            queue.call_lost(&end.upstream.id, now);
         }
         let sent = now.checked_sub(end.took).unwrap_or(now);
         let requests: BTreeSet<RequestDigest> =
@@ -137,15 +142,15 @@
             self.shared.suspects.lost(request, &end.upstream, times);
         }
         for piece in &mut end.pieces {
-            piece.lost += 1;
-            piece.alone |= piece.lost >= LOST_ALONE;
+            piece.lost_calls += 1;
+            piece.isolated |= piece.lost_calls >= ISOLATE_AFTER;
         }
     }
 
-    /// Puts pieces back that reached no upstream. This counts as no repeat.
-    fn put_back(&mut self, pieces: Vec<Piece>) {
+    /// Queues pieces again that reached no upstream. This does not count as a retry.
+    fn requeue_unsent(&mut self, pieces: Vec<Piece>) {
         for mut piece in pieces {
-            piece.sent = piece.sent.saturating_sub(1);
+            piece.sends = piece.sends.saturating_sub(1);
             let Some(section) = self.section_of(&piece) else { continue };
             if let Some(queue) = self.queues.get_mut(&section) {
                 queue.push(piece);
@@ -153,11 +158,12 @@
         }
     }
 
-    /// Puts the pieces of a call without results back, but those that were sent elsewhere when it was overdue.
-    fn requeue_all(&mut self, pieces: &[Piece], again: &HashSet<(JobKey, u32)>, now: Instant) {
+    /// Queues the pieces of a failed call again, except those that were queued again when it became
+    /// overdue.
+    fn requeue_all(&mut self, pieces: &[Piece], requeued: &HashSet<(JobKey, u32)>, now: Instant) {
         for piece in pieces {
-            if !again.contains(&(piece.job, piece.segment)) {
-                self.requeue(piece, now);
+            if !requeued.contains(&(piece.job, piece.segment)) {
+                self.requeue_or_fail(piece, now);
             }
         }
     }
@@ -173,20 +179,25 @@
         match result {
             Ok(handle) => {
                 if let Some(queue) = self.queues.get_mut(&end.section) {
-                    queue.kept(&end.upstream.id, piece.size, Arc::clone(&handle), now);
+                    queue.result_stored(
+                        &end.upstream.id,
+                        piece.result_bytes,
+                        Arc::clone(&handle),
+                        now,
+                    );
                 }
                 if !self.deliver(piece, Ok(Arc::clone(&handle)), now, end.took) {
-                    // Nobody waits for it any more.
+                    // No submitter waits for the result any more.
                     self.give_up(vec![handle.to_string()]);
                 }
             }
             Err(PieceFailure::NoRoom) if !elsewhere => {
                 if let Some(queue) = self.queues.get_mut(&end.section) {
-                    queue.crowded(&end.upstream.id, piece.size, now);
+                    queue.result_refused(&end.upstream.id, piece.result_bytes, now);
                 }
-                self.requeue(piece, now);
+                self.requeue_or_fail(piece, now);
             }
-            Err(PieceFailure::Failed) if !elsewhere => self.requeue(piece, now),
+            Err(PieceFailure::Failed) if !elsewhere => self.requeue_or_fail(piece, now),
             Err(PieceFailure::NoRoom | PieceFailure::Failed) => {}
             Err(failure) => {
                 self.deliver(piece, Err(failure), now, end.took);
@@ -194,7 +205,8 @@
         }
     }
 
-    /// Answers a piece, once, after a call that `took` so long; returns whether somebody waits for it.
+    /// Delivers the result of a piece once, after a call that took `took`. Returns whether a
+    /// submitter waits for it.
     pub(super) fn deliver(
         &mut self,
         piece: &Piece,
@@ -210,7 +222,7 @@
         let entry = self.outbox.entry(piece.job);
         let (_, done) = entry.or_insert_with(|| (open.replies.clone(), done));
         done.results.push((piece.segment, result.map(|it| it.to_string())));
-        let wait = now.saturating_duration_since(piece.since).saturating_sub(took);
+        let wait = now.saturating_duration_since(piece.queued_at).saturating_sub(took);
         done.wait_ms = wait.as_millis() as u32;
         done.call_ms = took.as_millis() as u32;
         if open.left.is_empty() {
@@ -219,8 +231,8 @@
         true
     }
 
-    /// Tells the results of this turn; gives up those whose submitter is gone.
-    pub(super) fn tell_results(&mut self) {
+    /// Sends the results of this step, and releases those whose submitter is gone.
+    pub(super) fn send_results(&mut self) {
         for (replies, done) in std::mem::take(&mut self.outbox).into_values() {
             let Err(unsent) = replies.send(FromOwner::Results(done)) else { continue };
             let FromOwner::Results(done) = unsent.0 else { continue };
--- a/crates/gateway/src/batch/owner/room.rs
+++ b/crates/gateway/src/batch/owner/room.rs
@@ -1,8 +1,8 @@
-//! Asks upstreams what room for results they have, where this owner cannot know it.
+//! Asks upstreams how much space they have for results, where this owner cannot know it.
 //!
-//! What goes wrong otherwise: an entry that has just become the owner of a service takes upstreams that
-//! keep results of the owner before for empty. They refuse the pieces that find no room, the retry budget
-//! ends, and requests fail in the seconds after a loss of all power.
+//! Without this, an entry that has just become the owner of a service treats upstreams as empty
+//! that store results of the previous owner. They refuse the pieces that find no space, the retry
+//! budget runs out, and requests fail in the seconds after a loss of all power.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,46 +16,47 @@
 use crate::section::Section;
 use crate::upstream::Upstream;
 
-/// After how long without a call of this owner its knowledge of an upstream is void. Results live for
-/// some seconds, and another owner may have filled it meanwhile.
-const FORGET: Duration = Duration::from_secs(4);
+/// How long knowledge of an upstream's space stays valid without a call of this owner. Results live
+/// for a few seconds, and another owner may have filled the upstream meanwhile.
+const ROOM_VALIDITY: Duration = Duration::from_secs(4);
 
-/// How long a call waits for the answer; what an upstream keeps is then taken for nothing.
-const ANSWER: Duration = Duration::from_millis(150);
+/// How long a call waits for the answer. After that the upstream is treated as empty.
+const ROOM_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// What is known of an upstream's room.
+/// The state of the query for an upstream's free space.
 #[derive(Clone, Copy)]
-pub(super) struct Survey {
+pub(super) struct RoomQuery {
     asked: Instant,
     answered: bool,
     used: Instant,
 }
 
 impl<D: Dialect> State<D> {
-    /// Whether a call may go to an upstream; asks it for its room first where that is not known.
-    pub(super) fn is_surveyed(
+    /// Returns whether a call may be sent to an upstream. If its free space is not known, asks the
+    /// upstream for it first.
+    pub(super) fn is_room_known(
         &mut self,
         upstream: &Arc<Upstream>,
         section: &Section,
         now: Instant,
     ) -> bool {
-        let known = self.surveys.get(&upstream.id).copied();
-        let fresh = known.filter(|it| now.duration_since(it.used.max(it.asked)) < FORGET);
-        let Some(survey) = fresh else {
+        let known = self.room_queries.get(&upstream.id).copied();
+        let fresh = known.filter(|it| now.duration_since(it.used.max(it.asked)) < ROOM_VALIDITY);
+        let Some(query) = fresh else {
             self.ask_room(upstream, section, now);
             return false;
         };
-        survey.answered || now.duration_since(survey.asked) >= ANSWER
+        query.answered || now.duration_since(query.asked) >= ROOM_TIMEOUT
     }
 
-    /// Notes that an upstream gets a call.
-    pub(super) fn uses(&mut self, upstream: &str, now: Instant) {
-        if let Some(survey) = self.surveys.get_mut(upstream) {
-            survey.used = now;
+    /// Records that a call is sent to an upstream.
+    pub(super) fn note_call(&mut self, upstream: &str, now: Instant) {
+        if let Some(query) = self.room_queries.get_mut(upstream) {
+            query.used = now;
         }
     }
 
-    /// Takes an upstream's answer; `None` where it gave none.
+    /// Handles an upstream's answer, which is `None` if there was none.
     pub(super) fn take_room(
         &mut self,
         upstream: &Upstream,
@@ -63,40 +64,41 @@
         report: Option<RoomReport>,
     ) {
         let now = Instant::now();
-        if let Some(survey) = self.surveys.get_mut(&upstream.id) {
-            survey.answered = true;
+        if let Some(query) = self.room_queries.get_mut(&upstream.id) {
+            query.answered = true;
         }
         let Some(report) = report else { return };
         let Some(queue) = self.queues.get_mut(section) else { return };
         match upstream.observe(report.born) {
             Life::Past => return,
-            Life::New => queue.reborn(&upstream.id),
+            Life::New => queue.restarted(&upstream.id),
             Life::Same => {}
         }
         let Some(free) = report.free else { return };
-        queue.set_free(&upstream.id, free, now);
+        queue.set_free_bytes(&upstream.id, free, now);
         log::info!(upstream:% = upstream.id, section:% = section, free,
-            foreign = queue.foreign(&upstream.id, now); "an upstream told its room");
+            foreign = queue.foreign_bytes(&upstream.id, now); "an upstream reported its free space for results");
     }
 
     fn ask_room(&mut self, upstream: &Arc<Upstream>, section: &Section, now: Instant) {
-        // Upstreams that are gone are never asked again.
-        self.surveys.retain(|_, it| now.duration_since(it.used.max(it.asked)) < FORGET * 4);
-        let survey = Survey { asked: now, answered: false, used: now };
-        self.surveys.insert(Arc::clone(&upstream.id), survey);
+        // Removes upstreams that are gone, which are never asked again.
+        self.room_queries
+            .retain(|_, it| now.duration_since(it.used.max(it.asked)) < ROOM_VALIDITY * 4);
+        let query = RoomQuery { asked: now, answered: false, used: now };
+        self.room_queries.insert(Arc::clone(&upstream.id), query);
         let (events, upstream, section) =
             (self.events.clone(), Arc::clone(upstream), section.clone());
         tokio::spawn(async move {
-            let report = match exchange::room::<D>(&upstream, now + ANSWER).await {
+            let report = match exchange::room::<D>(&upstream, now + ROOM_TIMEOUT).await {
                 Ok(report) => Some(report),
                 Err(fault) => {
                     log::info!(upstream:% = upstream.id, cause:% = fault;
-                        "an upstream does not tell its room; it is taken for empty");
+                        "an upstream did not report its free space for results; treating it as empty");
                     None
                 }
             };
             // The owner's task ends only with the process.
-            let _ = events.send(OwnerEvent::Room(upstream, section, report));
+            let _ = events.send(OwnerEvent::RoomReport(upstream, section, report));
         });
     }
 }
--- a/crates/gateway/src/batch/queue.rs
+++ b/crates/gateway/src/batch/queue.rs
@@ -1,7 +1,8 @@
-//! Decides which pieces go into the next call, and where. Time is passed in; no I/O.
+//! Decides which pieces go into the next call, and to which upstream. Time is passed in; there is
+//! no I/O.
 
 mod piece;
-mod record;
+mod upstream_state;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,125 +13,130 @@
 use crate::plan::BatchSpec;
 
 pub use self::piece::{JobKey, Piece};
-use self::record::Record;
+use self::upstream_state::UpstreamState;
 
-/// Results from this size on are worth waiting for a maker in the domain that uses them, in bytes.
+/// The size in bytes from which a result is worth waiting for an upstream in the failure domain
+/// that uses it.
 pub(crate) const LARGE: u64 = 200_000;
 
-/// How much sooner than it must a piece leaves the wait for a maker in its domain.
-const DOMAIN_MARGIN: Duration = Duration::from_millis(200);
+/// A piece waits for an upstream in its failure domain only if the result would be ready this long
+/// before it is due.
+const LOCAL_WAIT_MARGIN: Duration = Duration::from_millis(200);
 
-/// The ranks that are told apart in the backlog; lower ones count as the last.
+/// The number of ranks that the backlog distinguishes; lower ranks count as the last one.
 pub const RANKS: usize = 10;
 
-/// How much of the announced throughput is reached with calls that are not full and pauses between
-/// them, in the mean of days under load.
+/// The share of the announced throughput that is reached on average under load: calls are not always
+/// full, and there are pauses between them.
 const EFFICIENCY: f64 = 0.8;
 
-/// The weight of the latest call in what calls take.
-const TOOK_WEIGHT: f64 = 0.1;
+/// The weight of the latest call in the moving average of call times.
+const CALL_TIME_WEIGHT: f64 = 0.1;
 
-/// How long an upstream that lost a call gets no other. A process that ends closes its connections and its port
-/// some ms apart; pieces would be lost again in between.
-const ENDING: Duration = Duration::from_millis(150);
+/// How long an upstream that lost a call gets no other one. A process that shuts down closes its
+/// connections and its listening port some milliseconds apart, and pieces sent in between would be
+/// lost again.
+const LOST_CALL_BACKOFF: Duration = Duration::from_millis(150);
 
-/// Idle upstreams up to this share of all, and one at least, wait for fuller calls. What goes wrong
-/// otherwise: the last idle one takes a call of a piece or two, and what comes a moment later waits for
-/// the end of a whole call.
-const LAST_SHARE: f64 = 0.25;
+/// When at most this share of the available upstreams is idle, or only one is, a call that is not
+/// full waits for more pieces. Otherwise the last idle upstream takes a call of a piece or two, and
+/// pieces that arrive a moment later wait for a whole call to end.
+const SCARCE_IDLE_SHARE: f64 = 0.25;
 
-/// How long they wait, as a share of the fixed time of a call.
-const MORE_SHARE: f64 = 0.25;
+/// How long a call that is not full waits for more pieces, as a share of the fixed time of a call.
+const FILL_WAIT_SHARE: f64 = 0.25;
 
-/// An upstream this many times slower than announced gets work only where it ends soonest.
-const SLOW: f64 = 1.5;
+/// An upstream that is this many times slower than announced gets a call only if no other would end
+/// it sooner.
+const SLOWDOWN_LIMIT: f64 = 1.5;
 
-/// An upstream as the queue sees it.
+/// An upstream that calls can be sent to.
 #[derive(Clone, Debug)]
-pub struct Lane {
-    /// Its id.
+pub struct Target {
+    /// The upstream's id.
     pub id: Arc<str>,
-    /// Its failure domain.
+    /// The upstream's failure domain.
     pub domain: Arc<str>,
-    /// Whether it may get a call.
-    pub open: bool,
+    /// Whether the upstream may get a call.
+    pub available: bool,
 }
 
-/// A call that should go out now.
+/// A call that should be sent now.
 #[derive(Clone, Debug)]
 pub struct NextCall {
-    /// The upstream.
+    /// The upstream to send the call to.
     pub upstream: Arc<str>,
-    /// The pieces.
+    /// The pieces in the call.
     pub pieces: Vec<Piece>,
-    /// How long it is likely to take.
+    /// The expected duration of the call.
     pub expected: Duration,
 }
 
-/// The pieces of one service.
+/// The waiting pieces of one section of a service, and what is known of its upstreams.
 #[derive(Debug)]
 pub struct Queue {
     spec: BatchSpec,
     waiting: Vec<Piece>,
-    /// The size of the result of the piece that came last, in bytes.
-    size: u64,
-    /// What whole calls took of late.
-    took: Option<Duration>,
-    records: HashMap<Arc<str>, Record>,
+    /// The result size in bytes of the piece that was queued last.
+    last_size: u64,
+    /// The moving average of the times of completed calls.
+    call_time: Option<Duration>,
+    states: HashMap<Arc<str>, UpstreamState>,
 }
 
 impl Queue {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new(spec: BatchSpec) -> Self {
-        Self { spec, waiting: Vec::new(), size: 0, took: None, records: HashMap::new() }
+        Self { spec, waiting: Vec::new(), last_size: 0, call_time: None, states: HashMap::new() }
     }
 
-    /// Takes another description of the service.
+    /// Replaces the batch settings of the service.
     pub fn set_spec(&mut self, spec: BatchSpec) {
         self.spec = spec;
     }
 
-    /// The number of pieces that wait.
+    /// Returns the number of waiting pieces.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no piece is waiting.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Takes a piece.
+    /// Adds a piece.
     pub fn push(&mut self, piece: Piece) {
-        self.size = piece.size;
+        self.last_size = piece.result_bytes;
         self.waiting.push(piece);
     }
 
-    /// Whether a piece of a job waits.
-    pub fn has(&self, job: JobKey) -> bool {
+    /// Returns whether a piece of the job is waiting.
+    pub fn has_job(&self, job: JobKey) -> bool {
         self.waiting.iter().any(|it| it.job == job)
     }
 
-    /// Drops the pieces of a job.
+    /// Removes the pieces of a job.
     pub fn cancel(&mut self, job: JobKey) {
         self.waiting.retain(|it| it.job != job);
     }
 
-    /// Removes the pieces whose deadline has passed.
+    /// Removes and returns the pieces whose deadline has passed.
     pub fn take_expired(&mut self, now: Instant) -> Vec<Piece> {
         self.waiting.extract_if(.., |it| it.deadline <= now).collect()
     }
 
-    /// Removes the pieces that can't be made before their deadline, for `lanes` upstreams work on
-    /// those before them. What goes wrong otherwise: in a long burst late requests wait for nothing
-    /// until their callers leave, who could have tried again, and what was made for them is lost.
-    pub fn take_infeasible(&mut self, lanes: usize, now: Instant) -> Vec<Piece> {
-        if lanes == 0 {
+    /// Removes and returns the pieces that cannot be completed before their deadline because the
+    /// `upstreams` have to work on the pieces ahead of them first. Otherwise, in a long burst, late
+    /// requests wait in vain until their callers leave, although the callers could have retried,
+    /// and the results made for them are wasted.
+    pub fn take_infeasible(&mut self, upstreams: usize, now: Instant) -> Vec<Piece> {
+        if upstreams == 0 {
             return Vec::new();
         }
-        self.sort(now);
-        let (full, last) = (self.plain(self.spec.batch), self.plain(1));
-        let per_turn = lanes * self.spec.batch.max(1);
+        self.sort_by_urgency(now);
+        let (full, last) = (self.nominal_time(self.spec.batch), self.nominal_time(1));
+        let per_turn = upstreams * self.spec.batch.max(1);
         let mut ahead = 0;
         let infeasible = |piece: &mut Piece| {
             let turns = ahead / per_turn;
@@ -141,31 +147,36 @@
         self.waiting.extract_if(.., infeasible).collect()
     }
 
-    /// Removes all pieces of jobs that `dead` tells.
+    /// Removes all pieces of jobs for which `dead` returns true.
     pub fn drop_jobs(&mut self, dead: impl Fn(JobKey) -> bool) {
         self.waiting.retain(|it| !dead(it.job));
     }
 
-    /// For each rank, how long a piece is likely to wait for those of its rank and above.
-    pub fn backlog(&self, lanes: usize) -> [Duration; RANKS] {
-        self.waits(lanes, |_| true)
+    /// Returns, for each rank, how long a piece is expected to wait behind the pieces of its rank
+    /// and of those before it.
+    pub fn backlog(&self, upstreams: usize) -> [Duration; RANKS] {
+        self.waits_by_rank(upstreams, |_| true)
     }
 
-    /// As [`backlog`](Self::backlog), for a piece that can be in time: those that can't go after it. What
-    /// goes wrong with all of them: after a burst, requests that would be in time are refused for as long
-    /// as late ones wait.
-    pub fn timely_backlog(&self, lanes: usize, now: Instant) -> [Duration; RANKS] {
-        let ready = self.ready(now);
-        self.waits(lanes, |it| it.due > ready)
+    /// Like [`backlog`](Self::backlog), but for a piece that can still be on time: late pieces go
+    /// after it and do not count. If they did, requests that would be on time would be refused
+    /// after a burst for as long as late ones wait.
+    pub fn timely_backlog(&self, upstreams: usize, now: Instant) -> [Duration; RANKS] {
+        let end = self.batch_end(now);
+        self.waits_by_rank(upstreams, |it| it.due > end)
     }
 
-    fn waits(&self, lanes: usize, counts_for: impl Fn(&Piece) -> bool) -> [Duration; RANKS] {
+    fn waits_by_rank(
+        &self,
+        upstreams: usize,
+        counts_for: impl Fn(&Piece) -> bool,
+    ) -> [Duration; RANKS] {
         let mut counts = [0usize; RANKS];
         for piece in self.waiting.iter().filter(|it| counts_for(it)) {
             counts[usize::from(piece.rank).min(RANKS - 1)] += 1;
         }
-        let call = self.plain(self.spec.batch).as_secs_f64();
-        let rate = lanes.max(1) as f64 * self.spec.batch as f64 / call.max(0.001) * EFFICIENCY;
+        let call = self.nominal_time(self.spec.batch).as_secs_f64();
+        let rate = upstreams.max(1) as f64 * self.spec.batch as f64 / call.max(0.001) * EFFICIENCY;
         let mut before = 0;
         counts.map(|count| {
             before += count;
@@ -173,147 +184,157 @@
         })
     }
 
-    /// What a piece needs that goes before all others: a call as they are now, and the wait until the
-    /// next of `lanes` upstreams is done with one.
-    pub fn need(&self, lanes: usize) -> Duration {
-        let call = self.took.unwrap_or_else(|| self.plain(1));
-        call + call / lanes.max(1) as u32
+    /// Returns the time that a piece needs even if it goes first: one call at the present call
+    /// time, and the wait until the next of the `upstreams` becomes idle.
+    pub fn min_latency(&self, upstreams: usize) -> Duration {
+        let call = self.call_time.unwrap_or_else(|| self.nominal_time(1));
+        call + call / upstreams.max(1) as u32
     }
 
-    /// Chooses the next call, if one should go out now.
-    pub fn next(&mut self, lanes: &[Lane], now: Instant) -> Option<NextCall> {
+    /// Chooses the next call, if one should be sent now.
+    pub fn next_call(&mut self, targets: &[Target], now: Instant) -> Option<NextCall> {
         if self.waiting.is_empty() {
             return None;
         }
-        self.sort(now);
-        let open: Vec<&Lane> = lanes.iter().filter(|it| it.open).collect();
-        let mut idle: Vec<(&Lane, f64)> = Vec::new();
-        for lane in &open {
-            let record = self.records.entry(Arc::clone(&lane.id)).or_default();
-            record.expire(now);
-            if record.is_idle(now) {
-                idle.push((lane, record.speed(now)));
+        self.sort_by_urgency(now);
+        let available: Vec<&Target> = targets.iter().filter(|it| it.available).collect();
+        let mut idle: Vec<(&Target, f64)> = Vec::new();
+        for target in &available {
+            let state = self.states.entry(Arc::clone(&target.id)).or_default();
+            state.expire(now);
+            if state.is_idle(now) {
+                idle.push((target, state.slowdown(now)));
             }
         }
         idle.sort_by(|a, b| a.1.total_cmp(&b.1));
-        let last = idle.len() as f64 <= (open.len() as f64 * LAST_SHARE).max(1.0);
-        for (lane, speed) in idle {
-            let chosen = self.choose(lane, &open, now);
-            if chosen.is_empty() || last && self.waits_for_more(&chosen, now) {
+        let last = idle.len() as f64 <= (available.len() as f64 * SCARCE_IDLE_SHARE).max(1.0);
+        for (target, slowdown) in idle {
+            let chosen = self.choose_pieces(target, &available, now);
+            if chosen.is_empty() || last && self.waits_for_pieces(&chosen, now) {
                 continue;
             }
-            let plain = self.plain(chosen.len());
-            let expected = plain.mul_f64(speed);
-            if speed > SLOW && self.ends_sooner(&open, lane, plain, now + expected, now) {
+            let nominal = self.nominal_time(chosen.len());
+            let expected = nominal.mul_f64(slowdown);
+            if slowdown > SLOWDOWN_LIMIT
+                && self.ends_sooner(&available, target, nominal, now + expected, now)
+            {
                 continue;
             }
-            return Some(self.take(lane, &chosen, expected, now));
+            return Some(self.take_call(target, &chosen, expected, now));
         }
         None
     }
 
-    /// Notes that a call of `pieces` has ended; `took` tells its time where it was a whole one.
-    pub fn ended(&mut self, upstream: &str, pieces: usize, took: Option<Duration>, now: Instant) {
-        let plain = self.plain(pieces);
-        let Some(record) = self.records.get_mut(upstream) else { return };
-        record.busy = None;
+    /// Records that a call of `pieces` has ended. `took` is its duration if it completed.
+    pub fn call_ended(
+        &mut self,
+        upstream: &str,
+        pieces: usize,
+        took: Option<Duration>,
+        now: Instant,
+    ) {
+        let nominal = self.nominal_time(pieces);
+        let Some(state) = self.states.get_mut(upstream) else { return };
+        state.busy_until = None;
         if let Some(took) = took {
-            record.learn(plain, took, now);
-            let before = self.took.unwrap_or(took);
-            self.took = Some(before.mul_f64(1.0 - TOOK_WEIGHT) + took.mul_f64(TOOK_WEIGHT));
+            state.record_call(nominal, took, now);
+            let before = self.call_time.unwrap_or(took);
+            self.call_time =
+                Some(before.mul_f64(1.0 - CALL_TIME_WEIGHT) + took.mul_f64(CALL_TIME_WEIGHT));
         }
     }
 
-    /// Forgets what an upstream kept and how fast it was: it has started again.
-    pub fn reborn(&mut self, upstream: &str) {
-        if let Some(record) = self.records.get_mut(upstream) {
-            *record = record.reborn();
+    /// Discards the stored results and the slowdown of an upstream that has restarted.
+    pub fn restarted(&mut self, upstream: &str) {
+        if let Some(state) = self.states.get_mut(upstream) {
+            *state = state.restarted();
         }
     }
 
-    /// Takes what an upstream had free some hundred ms ago, before this queue's first call to it: the
-    /// rest is taken by results of other owners.
+    /// Records the free bytes that an upstream reported a few hundred milliseconds ago, before this
+    /// queue's first call to it. Results of other owners take the rest.
     ///
-    /// Later reports are no use: they may still count results that were given up since. Taken as they
-    /// came, each upstream would seem full with this queue's own results, and calls would be half full.
-    pub fn set_free(&mut self, upstream: &str, free: u64, now: Instant) {
+    /// Later reports are ignored because they may still count results that have been released
+    /// since. If they were used, each upstream would seem full of this queue's own results, and
+    /// calls would be half full.
+    pub fn set_free_bytes(&mut self, upstream: &str, free: u64, now: Instant) {
         let until = now + self.spec.ttl;
         let taken = self.spec.room.saturating_sub(free);
-        self.records.entry(upstream.into()).or_default().set_foreign(taken, until);
+        self.states.entry(upstream.into()).or_default().set_foreign_bytes(taken, until);
     }
 
-    /// The bytes of others' results that an upstream keeps.
-    pub fn foreign(&self, upstream: &str, now: Instant) -> u64 {
-        self.records.get(upstream).map_or(0, |it| it.foreign(now))
+    /// Returns the bytes that results of other owners take at an upstream.
+    pub fn foreign_bytes(&self, upstream: &str, now: Instant) -> u64 {
+        self.states.get(upstream).map_or(0, |it| it.foreign_bytes(now))
     }
 
-    /// Notes a result that an upstream keeps.
-    pub fn kept(&mut self, upstream: &str, size: u64, handle: Arc<str>, now: Instant) {
+    /// Records a result that an upstream stores.
+    pub fn result_stored(&mut self, upstream: &str, size: u64, handle: Arc<str>, now: Instant) {
         let until = now + self.spec.ttl;
-        if let Some(record) = self.records.get_mut(upstream) {
-            record.keep(size, handle, until);
+        if let Some(state) = self.states.get_mut(upstream) {
+            state.add_result(size, handle, until);
         }
     }
 
-    /// Notes that an upstream dropped results, as it was told to. Those that this queue doesn't know were
-    /// of another owner, and about as large as what came last.
-    pub fn freed(&mut self, upstream: &str, handles: &[Arc<str>]) {
-        if let Some(record) = self.records.get_mut(upstream) {
-            record.remove(handles, self.size);
+    /// Records that an upstream dropped results as requested. Results that this queue does not know
+    /// belonged to another owner; their size is taken to be that of the piece queued last.
+    pub fn results_freed(&mut self, upstream: &str, handles: &[Arc<str>]) {
+        if let Some(state) = self.states.get_mut(upstream) {
+            state.remove(handles, self.last_size);
         }
     }
 
-    /// Notes that an upstream turned a call away because calls of others wait there.
-    pub fn full(&mut self, upstream: &str, now: Instant) {
-        self.rest(upstream, now + self.spec.call);
+    /// Records that an upstream refused a call because calls of others wait there.
+    pub fn call_refused(&mut self, upstream: &str, now: Instant) {
+        self.back_off(upstream, now + self.spec.call);
     }
 
-    /// Notes that an upstream lost a call: it may have ended, and be about to close its port.
-    pub fn lost(&mut self, upstream: &str, now: Instant) {
-        self.rest(upstream, now + ENDING);
+    /// Records that an upstream lost a call: it may be shutting down and about to close its port.
+    pub fn call_lost(&mut self, upstream: &str, now: Instant) {
+        self.back_off(upstream, now + LOST_CALL_BACKOFF);
     }
 
-    fn rest(&mut self, upstream: &str, until: Instant) {
-        if let Some(record) = self.records.get_mut(upstream) {
-            record.rests = Some(until);
+    fn back_off(&mut self, upstream: &str, until: Instant) {
+        if let Some(state) = self.states.get_mut(upstream) {
+            state.backoff_until = Some(until);
         }
     }
 
-    /// Notes that an upstream had no room for a result: it keeps some that this queue doesn't know
-    /// of, from an owner before or with another size.
-    pub fn crowded(&mut self, upstream: &str, size: u64, now: Instant) {
-        if let Some(record) = self.records.get_mut(upstream) {
-            record.crowd(size, now);
+    /// Records that an upstream had no space for a result: it stores results that this queue does
+    /// not know, from an earlier owner or of another size.
+    pub fn result_refused(&mut self, upstream: &str, size: u64, now: Instant) {
+        if let Some(state) = self.states.get_mut(upstream) {
+            state.reserve(size, now);
         }
     }
 
-    /// Forgets upstreams that are gone.
+    /// Discards the state of upstreams that are not `known`, except those with a call in flight.
     pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
-        self.records.retain(|id, record| record.busy.is_some() || known(id));
+        self.states.retain(|id, state| state.busy_until.is_some() || known(id));
     }
 
-    /// When the next call ends, which is as long as what waits makes it; a piece that is due sooner counts
-    /// as late. What goes wrong otherwise: under overload those whose results come a little too late go
-    /// before those that can still be in time, until all come a little too late.
-    fn ready(&self, now: Instant) -> Instant {
-        now + self.plain(self.spec.batch.min(self.waiting.len()))
+    /// Returns when the next call would end, given the number of waiting pieces. A piece that is
+    /// due before then counts as late. Otherwise, under overload, pieces whose results come
+    /// slightly late go before those that can still be on time, until all are slightly late.
+    fn batch_end(&self, now: Instant) -> Instant {
+        now + self.nominal_time(self.spec.batch.min(self.waiting.len()))
     }
 
-    /// Puts the waiting pieces into their order.
-    fn sort(&mut self, now: Instant) {
-        let ready = self.ready(now);
-        self.waiting.sort_by_key(|it| it.urgency(ready));
+    /// Sorts the waiting pieces by urgency.
+    fn sort_by_urgency(&mut self, now: Instant) {
+        let end = self.batch_end(now);
+        self.waiting.sort_by_key(|it| it.urgency(end));
     }
 
-    /// The announced time of a call with `pieces`.
-    fn plain(&self, pieces: usize) -> Duration {
+    /// Returns the announced time of a call with `pieces`.
+    fn nominal_time(&self, pieces: usize) -> Duration {
         self.spec.call + self.spec.item * pieces as u32
     }
 
-    /// The pieces for a call to `lane`, by their place in the queue.
-    fn choose(&self, lane: &Lane, open: &[&Lane], now: Instant) -> Vec<usize> {
-        let record = self.records.get(&lane.id);
-        let mut room = record.map_or(0, |it| it.free(self.spec.room, now));
+    /// Returns the indices in the queue of the pieces for a call to `target`.
+    fn choose_pieces(&self, target: &Target, available: &[&Target], now: Instant) -> Vec<usize> {
+        let state = self.states.get(&target.id);
+        let mut room = state.map_or(0, |it| it.free(self.spec.room, now));
         let mut chosen = Vec::new();
         let mut ahead: Vec<(&Arc<str>, usize)> = Vec::new();
         for (at, piece) in self.waiting.iter().enumerate() {
@@ -321,41 +342,44 @@
                 break;
             }
             let first = chosen.first().map(|it: &usize| &self.waiting[*it]);
-            if first.is_some_and(|it| !it.goes_with(piece)) {
+            if first.is_some_and(|it| !it.can_join(piece)) {
                 continue;
             }
-            if piece.size > room || self.waits_for_domain(piece, lane, open, &mut ahead, now) {
+            if piece.result_bytes > room
+                || self.waits_for_domain(piece, target, available, &mut ahead, now)
+            {
                 continue;
             }
-            room -= piece.size;
+            room -= piece.result_bytes;
             chosen.push(at);
         }
         chosen
     }
 
-    /// Whether a call that is not full waits for more pieces.
-    fn waits_for_more(&self, chosen: &[usize], now: Instant) -> bool {
-        let since = chosen.iter().map(|it| self.waiting[*it].since).min();
-        let waited = now.saturating_duration_since(since.unwrap_or(now));
-        chosen.len() < self.spec.batch && waited < self.spec.call.mul_f64(MORE_SHARE)
+    /// Returns whether a call that is not full should wait for more pieces.
+    fn waits_for_pieces(&self, chosen: &[usize], now: Instant) -> bool {
+        let queued_at = chosen.iter().map(|it| self.waiting[*it].queued_at).min();
+        let waited = now.saturating_duration_since(queued_at.unwrap_or(now));
+        chosen.len() < self.spec.batch && waited < self.spec.call.mul_f64(FILL_WAIT_SHARE)
     }
 
-    /// Whether a piece is better made in its domain, later: while it can still be in time there,
-    /// after those that are `ahead` of it.
+    /// Returns whether a piece should wait for an upstream in its failure domain: it does while it
+    /// can still be on time there, behind the pieces that are `ahead` of it.
     fn waits_for_domain<'a>(
         &self,
         piece: &'a Piece,
-        lane: &Lane,
-        open: &[&Lane],
+        target: &Target,
+        available: &[&Target],
         ahead: &mut Vec<(&'a Arc<str>, usize)>,
         now: Instant,
     ) -> bool {
         let Some(domain) = &piece.domain else { return false };
-        if piece.weight < LARGE || *domain == lane.domain {
+        if piece.transfer_bytes < LARGE || *domain == target.domain {
             return false;
         }
-        let near = open.iter().filter(|it| it.domain == *domain);
-        let busy = near.map(|it| self.records.get(&it.id).and_then(|it| it.busy).unwrap_or(now));
+        let near = available.iter().filter(|it| it.domain == *domain);
+        let busy =
+            near.map(|it| self.states.get(&it.id).and_then(|it| it.busy_until).unwrap_or(now));
         let busy: Vec<Instant> = busy.collect();
         let Some(first) = busy.iter().min() else { return false };
         let before = match ahead.iter_mut().find(|it| it.0 == domain) {
@@ -369,31 +393,32 @@
             }
         };
         let turns = before / (self.spec.batch * busy.len());
-        let call = self.plain(self.spec.batch / 2 + 1);
+        let call = self.nominal_time(self.spec.batch / 2 + 1);
         let end = *first.max(&now) + call * (turns as u32 + 1);
-        end + DOMAIN_MARGIN < piece.due
+        end + LOCAL_WAIT_MARGIN < piece.due
     }
 
-    /// Whether another upstream would end the same call before `by`, its present one included.
+    /// Returns whether another upstream would end the same call before `by`, including the call it
+    /// works on now.
     fn ends_sooner(
         &self,
-        open: &[&Lane],
-        lane: &Lane,
-        plain: Duration,
+        available: &[&Target],
+        target: &Target,
+        nominal: Duration,
         by: Instant,
         now: Instant,
     ) -> bool {
-        open.iter().filter(|it| it.id != lane.id).any(|it| {
-            let record = self.records.get(&it.id);
-            let speed = record.map_or(1.0, |it| it.speed(now));
-            let busy = record.and_then(|it| it.busy).unwrap_or(now);
-            busy.max(now) + plain.mul_f64(speed) < by
+        available.iter().filter(|it| it.id != target.id).any(|it| {
+            let state = self.states.get(&it.id);
+            let slowdown = state.map_or(1.0, |it| it.slowdown(now));
+            let busy = state.and_then(|it| it.busy_until).unwrap_or(now);
+            busy.max(now) + nominal.mul_f64(slowdown) < by
         })
     }
 
-    fn take(
+    fn take_call(
         &mut self,
-        lane: &Lane,
+        target: &Target,
         chosen: &[usize],
         expected: Duration,
         now: Instant,
@@ -401,12 +426,12 @@
         let mut pieces = Vec::with_capacity(chosen.len());
         for at in chosen.iter().rev() {
             let mut piece = self.waiting.remove(*at);
-            piece.sent += 1;
+            piece.sends += 1;
             pieces.push(piece);
         }
         pieces.reverse();
-        let record = self.records.entry(Arc::clone(&lane.id)).or_default();
-        record.busy = Some(now + expected);
-        NextCall { upstream: Arc::clone(&lane.id), pieces, expected }
+        let state = self.states.entry(Arc::clone(&target.id)).or_default();
+        state.busy_until = Some(now + expected);
+        NextCall { upstream: Arc::clone(&target.id), pieces, expected }
     }
 }
--- a/crates/gateway/src/batch/queue/piece.rs
+++ b/crates/gateway/src/batch/queue/piece.rs
@@ -1,4 +1,4 @@
-//! A piece that waits, and its place among others.
+//! A waiting piece, and its order among others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,59 +8,59 @@
 
 use crate::dialect::{PieceCall, PieceInput};
 
-/// How much later a piece counts as due for each step of lower rank.
+/// How much later a piece counts as due for each rank below the first.
 const RANK_DELAY: Duration = Duration::from_millis(400);
 
-/// Names a job: the connection it came by and its number there.
+/// Identifies a job by the connection that submitted it and its number on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct JobKey {
-    /// The connection.
+    /// The connection's number; 0 for jobs of this entry.
     pub origin: u64,
-    /// The number.
+    /// The job's number, chosen by the submitter.
     pub id: u64,
 }
 
-/// A piece that waits.
+/// A piece that waits for a call.
 #[derive(Clone, Debug)]
 pub struct Piece {
-    /// Its job.
+    /// The job that the piece belongs to.
     pub job: JobKey,
     /// The caller's id of the attempt.
     pub attempt: Arc<str>,
-    /// The number of the stage.
+    /// The index of the stage.
     pub stage: u32,
-    /// The number of the piece.
+    /// The index of the piece in its stage.
     pub segment: u32,
-    /// What it works on.
+    /// The input to work on.
     pub input: PieceInput,
-    /// The rank of its request; 0 goes first.
+    /// The rank of the request; 0 goes first.
     pub rank: u8,
-    /// The size of its result in bytes.
-    pub size: u64,
-    /// The failure domain in which its inputs are, or its result is used.
+    /// The size of the result in bytes.
+    pub result_bytes: u64,
+    /// The failure domain that stores the inputs or uses the result.
     pub domain: Option<Arc<str>>,
-    /// The bytes that cross domains if it is made in another one.
-    pub weight: u64,
-    /// When the result should be there.
+    /// The bytes that cross failure domains if another domain's upstream makes the result.
+    pub transfer_bytes: u64,
+    /// When the result is due.
     pub due: Instant,
-    /// When it is of no use any more.
+    /// When the result becomes useless.
     pub deadline: Instant,
-    /// Since when it waits.
-    pub since: Instant,
-    /// How often it was sent to an upstream.
-    pub sent: u32,
-    /// The request, where the submitter tells it.
+    /// When the piece was queued.
+    pub queued_at: Instant,
+    /// How often the piece was sent to an upstream.
+    pub sends: u32,
+    /// The digest of the request, if the submitter sent it.
     pub request: Option<RequestDigest>,
-    /// Whether it is called with pieces of its own job only: calls with it were lost, and their other
-    /// pieces must not be lost again, nor be taken for the cause.
-    pub alone: bool,
-    /// How many calls with it lost their connection.
-    pub lost: u32,
+    /// Whether the piece only shares a call with pieces of its own job. Calls with it were lost;
+    /// pieces of other jobs must not be lost with it again, nor be suspected as the cause.
+    pub isolated: bool,
+    /// How many calls with this piece lost their connection.
+    pub lost_calls: u32,
 }
 
 impl Piece {
-    /// Gives the piece as an upstream is told it.
-    pub fn call(&self, now: Instant) -> PieceCall {
+    /// Returns the piece in the form that is sent to an upstream.
+    pub fn to_call(&self, now: Instant) -> PieceCall {
         PieceCall {
             attempt: Arc::clone(&self.attempt),
             stage: self.stage,
@@ -70,17 +70,17 @@
         }
     }
 
-    /// Whether it may go into the same call as another piece.
-    pub(super) fn goes_with(&self, other: &Piece) -> bool {
-        self.alone == other.alone && (!self.alone || self.job == other.job)
+    /// Returns whether the piece may share a call with another one.
+    pub(super) fn can_join(&self, other: &Piece) -> bool {
+        self.isolated == other.isolated && (!self.isolated || self.job == other.job)
     }
 
-    /// The order of pieces whose results will be there at `ready` at the soonest: those that can still
-    /// be in time, by when they are due; then those that can't. Under overload the late ones must not
-    /// make the others late, too. Among them the later stages go first, for their requests cost the most
-    /// already.
-    pub(super) fn urgency(&self, ready: Instant) -> (bool, std::cmp::Reverse<u32>, Instant) {
-        let late = self.due <= ready;
+    /// Returns the sort key among pieces whose call ends at `end` at the earliest. Pieces that can
+    /// still be on time come first, by due time. Late pieces follow, so that they do not make
+    /// others late under overload; among them later stages come first, because their requests have
+    /// cost the most already.
+    pub(super) fn urgency(&self, end: Instant) -> (bool, std::cmp::Reverse<u32>, Instant) {
+        let late = self.due <= end;
         let stage = if late { self.stage } else { 0 };
         (late, std::cmp::Reverse(stage), self.due + RANK_DELAY * u32::from(self.rank))
     }
--- a/crates/gateway/tests/overload.rs
+++ b/crates/gateway/tests/overload.rs
@@ -1,4 +1,4 @@
-//! A stage that is asked for more than it can make, replayed in virtual time.
+//! Simulates, in virtual time, a stage that gets more work than it can do.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,7 +7,7 @@
 
 use gateway::dialect::PieceInput;
 use gateway::plan::BatchSpec;
-use gateway::queue::{JobKey, Lane, Piece, Queue};
+use gateway::queue::{JobKey, Piece, Queue, Target};
 use tokio::time::Instant;
 
 const SPEC: BatchSpec = BatchSpec {
@@ -18,23 +18,23 @@
     ttl: Duration::from_secs(4),
 };
 
-const LANES: usize = 5;
+const UPSTREAMS: usize = 5;
 
-/// How long pieces come.
+/// How long pieces arrive.
 const BURST: Duration = Duration::from_secs(6);
 
-/// The time between two looks at the queue, besides the ends of calls.
+/// The simulation step. The queue is checked at each step.
 const STEP: Duration = Duration::from_millis(5);
 
 /// How long after its arrival a piece is due.
-const SLACK: Duration = Duration::from_millis(900);
+const DUE_AFTER: Duration = Duration::from_millis(900);
 
-/// How long after its arrival it is of no use any more.
-const PATIENCE: Duration = Duration::from_secs(4);
+/// How long after its arrival a piece becomes useless.
+const LIFETIME: Duration = Duration::from_secs(4);
 
-/// A call under way, ordered by its end.
+/// A call in flight, ordered by its end.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Flying {
+struct InFlight {
     end: Instant,
     upstream: Arc<str>,
     dues: Vec<Instant>,
@@ -43,9 +43,10 @@
 
 struct Case {
     name: &'static str,
-    /// The load over what full calls can make.
+    /// The load as a ratio of what full calls can do.
     load: f64,
-    /// The least share in time of what full calls can make, or of all that came where that is less.
+    /// The least share of on-time pieces, relative to what full calls can do or to all that
+    /// arrived, whichever is less.
     in_time: f64,
 }
 
@@ -64,29 +65,30 @@
         segment: 0,
         input: PieceInput::Key("k".into()),
         rank: 0,
-        size: 1_000,
+        result_bytes: 1_000,
         domain: None,
-        weight: 0,
-        due: now + SLACK,
-        deadline: now + PATIENCE,
-        since: now,
-        sent: 0,
+        transfer_bytes: 0,
+        due: now + DUE_AFTER,
+        deadline: now + LIFETIME,
+        queued_at: now,
+        sends: 0,
         request: None,
-        alone: false,
-        lost: 0,
+        isolated: false,
+        lost_calls: 0,
     }
 }
 
-/// Plays a burst; returns how many pieces came, and how many were done in time.
-fn play(rate: f64) -> (usize, usize) {
-    let lanes: Vec<Lane> = (0..LANES)
-        .map(|at| Lane { id: format!("u-{at}").into(), domain: "d".into(), open: true })
+/// Simulates a burst at a rate of pieces a second. Returns how many pieces arrived, and how many
+/// were completed on time.
+fn simulate(rate: f64) -> (usize, usize) {
+    let targets: Vec<Target> = (0..UPSTREAMS)
+        .map(|at| Target { id: format!("u-{at}").into(), domain: "d".into(), available: true })
         .collect();
     let start = Instant::now();
     let mut queue = Queue::new(SPEC);
-    let mut flying: BinaryHeap<Reverse<Flying>> = BinaryHeap::new();
+    let mut in_flight: BinaryHeap<Reverse<InFlight>> = BinaryHeap::new();
     let (mut came, mut in_time, mut now) = (0, 0, start);
-    while now < start + BURST + PATIENCE {
+    while now < start + BURST + LIFETIME {
         now += STEP;
         let burst = now.duration_since(start).min(BURST);
         let due = (burst.as_secs_f64() * rate) as usize;
@@ -94,15 +96,15 @@
             came += 1;
             queue.push(piece(came as u64, now));
         }
-        while flying.peek().is_some_and(|it| it.0.end <= now) {
-            let Some(Reverse(call)) = flying.pop() else { break };
-            queue.ended(&call.upstream, call.dues.len(), Some(call.took), call.end);
+        while in_flight.peek().is_some_and(|it| it.0.end <= now) {
+            let Some(Reverse(call)) = in_flight.pop() else { break };
+            queue.call_ended(&call.upstream, call.dues.len(), Some(call.took), call.end);
             in_time += call.dues.iter().filter(|it| call.end <= **it).count();
         }
         queue.take_expired(now);
-        queue.take_infeasible(LANES, now);
-        while let Some(call) = queue.next(&lanes, now) {
-            flying.push(Reverse(Flying {
+        queue.take_infeasible(UPSTREAMS, now);
+        while let Some(call) = queue.next_call(&targets, now) {
+            in_flight.push(Reverse(InFlight {
                 end: now + call.expected,
                 upstream: call.upstream,
                 dues: call.pieces.iter().map(|it| it.due).collect(),
@@ -113,16 +115,16 @@
     (came, in_time)
 }
 
-/// Symptom: in a burst nearly every request is late by a little, and as much is refused besides.
-/// Sequence: more pieces come than full calls can make, each with some slack.
-/// Cause: a piece counts as in time though it ends just after it is due, with those that wait for its
-/// call; the sooner it is due, the sooner it is made, so all that is made is late.
+/// Guards against a burst in which nearly every request is slightly late, and as many are refused:
+/// more pieces arrive than full calls can do, each with some slack. If a piece counted as on time
+/// although its call, lengthened by the others that wait for it, ends just after it is due, the
+/// pieces that are due soonest would go first, and all would be late.
 #[test]
 fn what_is_made_in_a_burst_is_made_in_time() {
     let full = SPEC.call + SPEC.item * SPEC.batch as u32;
-    let capacity = (LANES * SPEC.batch) as f64 / full.as_secs_f64();
+    let capacity = (UPSTREAMS * SPEC.batch) as f64 / full.as_secs_f64();
     for case in CASES {
-        let (came, in_time) = play(capacity * case.load);
+        let (came, in_time) = simulate(capacity * case.load);
         let possible = (came as f64).min(capacity * BURST.as_secs_f64());
         let share = in_time as f64 / possible;
         assert!(share >= case.in_time, "{}: {share:.2} of {possible:.0}", case.name);
--- a/crates/gateway/tests/queue.rs
+++ b/crates/gateway/tests/queue.rs
@@ -1,11 +1,11 @@
-//! Which pieces go into the next call, and where.
+//! Tests which pieces go into the next call, and to which upstream.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use gateway::dialect::PieceInput;
 use gateway::plan::BatchSpec;
-use gateway::queue::{JobKey, Lane, Piece, Queue};
+use gateway::queue::{JobKey, Piece, Queue, Target};
 use tokio::time::Instant;
 
 const SPEC: BatchSpec = BatchSpec {
@@ -16,11 +16,12 @@
     ttl: Duration::from_secs(4),
 };
 
-fn lane(id: &str, domain: &str) -> Lane {
-    Lane { id: id.into(), domain: domain.into(), open: true }
+fn target(id: &str, domain: &str) -> Target {
+    Target { id: id.into(), domain: domain.into(), available: true }
 }
 
-/// A piece as a case gives it: job, how many, due in ms, bytes, domain, rank, waited so far in ms, alone.
+/// The pieces of one job that a case queues: the job, how many, due in ms, bytes of a result,
+/// domain, rank, waited so far in ms, isolated.
 #[derive(Clone, Copy)]
 struct Given {
     job: u64,
@@ -30,10 +31,10 @@
     domain: Option<&'static str>,
     rank: u8,
     waited: u64,
-    alone: bool,
+    isolated: bool,
 }
 
-/// Has waited longer than a call is held back for more pieces.
+/// A piece that has waited longer than a call is held back for more pieces.
 const PLAIN: Given = Given {
     job: 1,
     pieces: 1,
@@ -42,7 +43,7 @@
     domain: None,
     rank: 0,
     waited: 60,
-    alone: false,
+    isolated: false,
 };
 
 fn push(queue: &mut Queue, given: Given, now: Instant) {
@@ -58,16 +59,16 @@
             segment,
             input: PieceInput::Key("k".into()),
             rank: given.rank,
-            size: given.bytes,
+            result_bytes: given.bytes,
             domain: given.domain.map(Arc::from),
-            weight: given.bytes,
+            transfer_bytes: given.bytes,
             due,
             deadline: now + Duration::from_secs(4),
-            since: now - Duration::from_millis(given.waited),
-            sent: 0,
+            queued_at: now - Duration::from_millis(given.waited),
+            sends: 0,
             request: None,
-            alone: given.alone,
-            lost: 0,
+            isolated: given.isolated,
+            lost_calls: 0,
         });
     }
 }
@@ -75,20 +76,20 @@
 struct Case {
     name: &'static str,
     given: &'static [Given],
-    lanes: &'static [(&'static str, &'static str)],
+    targets: &'static [(&'static str, &'static str)],
     /// The upstream of the next call and the jobs of its pieces.
     next: Option<(&'static str, &'static [u64])>,
 }
 
 const CASES: &[Case] = &[
-    Case { name: "nothing waits", given: &[], lanes: &[("u", "d")], next: None },
+    Case { name: "nothing waits", given: &[], targets: &[("u", "d")], next: None },
     Case {
         name: "pieces of several requests share a call",
         given: &[
             Given { job: 1, pieces: 2, ..PLAIN },
             Given { job: 2, pieces: 2, due: 950, ..PLAIN },
         ],
-        lanes: &[("u", "d")],
+        targets: &[("u", "d")],
         next: Some(("u", &[1, 1, 2, 2])),
     },
     Case {
@@ -97,61 +98,61 @@
             Given { job: 1, pieces: 6, due: 900, ..PLAIN },
             Given { job: 2, pieces: 6, due: 500, ..PLAIN },
         ],
-        lanes: &[("u", "d")],
+        targets: &[("u", "d")],
         next: Some(("u", &[2, 2, 2, 2, 2, 2, 1, 1])),
     },
     Case {
-        name: "what is late does not make others late",
+        name: "late pieces do not make others late",
         given: &[
             Given { job: 1, pieces: 7, due: -1, ..PLAIN },
             Given { job: 2, pieces: 7, due: 900, ..PLAIN },
         ],
-        lanes: &[("u", "d")],
+        targets: &[("u", "d")],
         next: Some(("u", &[2, 2, 2, 2, 2, 2, 2, 1])),
     },
     Case {
-        name: "nor does what will be late after a call",
+        name: "nor do pieces that will be late after a call",
         given: &[
             Given { job: 1, pieces: 7, due: 200, ..PLAIN },
             Given { job: 2, pieces: 7, due: 900, ..PLAIN },
         ],
-        lanes: &[("u", "d")],
+        targets: &[("u", "d")],
         next: Some(("u", &[2, 2, 2, 2, 2, 2, 2, 1])),
     },
     Case {
-        name: "nor does what ends just after it is due in a full call",
+        name: "nor do pieces that a full call ends just after they are due",
         given: &[
             Given { job: 1, pieces: 7, due: 300, ..PLAIN },
             Given { job: 2, pieces: 7, due: 900, ..PLAIN },
         ],
-        lanes: &[("u", "d")],
+        targets: &[("u", "d")],
         next: Some(("u", &[2, 2, 2, 2, 2, 2, 2, 1])),
     },
     Case {
         name: "a short call ends sooner",
         given: &[Given { job: 1, due: 900, ..PLAIN }, Given { job: 2, due: 300, ..PLAIN }],
-        lanes: &[("u", "d")],
+        targets: &[("u", "d")],
         next: Some(("u", &[2, 1])),
     },
     Case {
-        name: "what may end its upstream takes nothing else along",
+        name: "an isolated piece shares its call with no other job",
         given: &[
-            Given { job: 1, pieces: 2, due: 900, alone: true, ..PLAIN },
-            Given { job: 2, pieces: 2, due: 950, alone: true, ..PLAIN },
+            Given { job: 1, pieces: 2, due: 900, isolated: true, ..PLAIN },
+            Given { job: 2, pieces: 2, due: 950, isolated: true, ..PLAIN },
             Given { job: 3, pieces: 2, due: 950, ..PLAIN },
         ],
-        lanes: &[("u", "d")],
+        targets: &[("u", "d")],
         next: Some(("u", &[1, 1])),
     },
     Case {
-        name: "and goes along with nothing else",
+        name: "a call of other pieces takes no isolated piece",
         given: &[
             Given { job: 1, due: 900, ..PLAIN },
-            Given { job: 1, due: 910, alone: true, ..PLAIN },
-            Given { job: 2, due: 950, alone: true, ..PLAIN },
+            Given { job: 1, due: 910, isolated: true, ..PLAIN },
+            Given { job: 2, due: 950, isolated: true, ..PLAIN },
             Given { job: 3, due: 990, ..PLAIN },
         ],
-        lanes: &[("u", "d")],
+        targets: &[("u", "d")],
         next: Some(("u", &[1, 3])),
     },
     Case {
@@ -160,25 +161,25 @@
             Given { job: 1, due: 600, rank: 2, ..PLAIN },
             Given { job: 2, due: 900, rank: 0, ..PLAIN },
         ],
-        lanes: &[("u", "d")],
+        targets: &[("u", "d")],
         next: Some(("u", &[2, 1])),
     },
     Case {
         name: "no more results than there is room for",
         given: &[Given { pieces: 8, bytes: 6_000_000, ..PLAIN }],
-        lanes: &[("u", "d")],
+        targets: &[("u", "d")],
         next: Some(("u", &[1, 1])),
     },
     Case {
-        name: "a large result waits for its domain while it has time",
+        name: "a large result waits for its domain while there is time",
         given: &[Given { bytes: 1_500_000, domain: Some("d"), due: 2_000, ..PLAIN }],
-        lanes: &[("far", "e"), ("near", "d")],
+        targets: &[("far", "e"), ("near", "d")],
         next: Some(("near", &[1])),
     },
     Case {
-        name: "a large result without time is made anywhere",
+        name: "a large result without time to wait is made in any domain",
         given: &[Given { bytes: 1_500_000, domain: Some("d"), due: 300, ..PLAIN }],
-        lanes: &[("far", "e")],
+        targets: &[("far", "e")],
         next: Some(("far", &[1])),
     },
 ];
@@ -191,8 +192,8 @@
         for given in case.given {
             push(&mut queue, *given, now);
         }
-        let lanes: Vec<Lane> = case.lanes.iter().map(|it| lane(it.0, it.1)).collect();
-        let next = queue.next(&lanes, now);
+        let targets: Vec<Target> = case.targets.iter().map(|it| target(it.0, it.1)).collect();
+        let next = queue.next_call(&targets, now);
         let next = next.map(|it| {
             let jobs = it.pieces.iter().map(|it| it.job.id).collect::<Vec<_>>();
             (it.upstream.to_string(), jobs)
@@ -202,111 +203,114 @@
     }
 }
 
-/// Symptom: large results cross domains although a maker of their own is free within their time.
-/// Sequence: the maker in the domain is busy; one elsewhere is idle.
-/// Cause: a busy maker counted as none.
+/// Guards against large results that cross failure domains although an upstream in their own domain
+/// becomes idle in time: the upstream in the domain is busy, another one is idle, and the busy one
+/// was not considered.
 #[test]
 fn a_busy_maker_in_the_domain_is_waited_for() {
     let now = Instant::now();
-    let lanes = [lane("near", "d"), lane("far", "e")];
+    let targets = [target("near", "d"), target("far", "e")];
     let large = Given { bytes: 1_500_000, domain: Some("d"), due: 2_000, ..PLAIN };
     let mut queue = Queue::new(SPEC);
     push(&mut queue, Given { job: 1, ..large }, now);
-    assert_eq!(queue.next(&lanes, now).map(|it| it.upstream), Some("near".into()));
+    assert_eq!(queue.next_call(&targets, now).map(|it| it.upstream), Some("near".into()));
     push(&mut queue, Given { job: 2, ..large }, now);
-    assert!(queue.next(&lanes, now).is_none(), "it should wait");
+    assert!(queue.next_call(&targets, now).is_none(), "it should wait");
 }
 
-/// Symptom: after an upstream was slow for seconds it gets no calls for the rest of the day.
-/// Sequence: its call takes eight times the usual; then it is well again.
-/// Cause: only its own calls change what is remembered, and it gets none.
+/// Guards against an upstream that was slow for some seconds and then gets no calls for the rest of
+/// the day: a call takes eight times the usual, then the upstream recovers. If only its own calls
+/// update its slowdown, it stays slow, because it gets none.
 #[test]
 fn slowness_is_forgotten_without_calls() {
     let start = Instant::now();
-    let lanes = [lane("slow", "d"), lane("well", "d")];
+    let targets = [target("slow", "d"), target("well", "d")];
     let mut queue = Queue::new(SPEC);
     push(&mut queue, PLAIN, start);
-    let first = queue.next(&lanes, start).expect("a call").upstream;
-    queue.ended(&first, 1, Some(Duration::from_millis(2_000)), start);
+    let first = queue.next_call(&targets, start).expect("a call").upstream;
+    queue.call_ended(&first, 1, Some(Duration::from_millis(2_000)), start);
     push(&mut queue, PLAIN, start);
-    let second = queue.next(&lanes, start).expect("a call").upstream;
-    assert_ne!(second, first, "the slow one should be passed over");
+    let second = queue.next_call(&targets, start).expect("a call").upstream;
+    assert_ne!(second, first, "the slow one should get no call");
     push(&mut queue, PLAIN, start);
-    assert!(queue.next(&lanes, start).is_none(), "waiting for the other ends sooner");
+    assert!(queue.next_call(&targets, start).is_none(), "waiting for the other ends sooner");
     let later = start + Duration::from_secs(8);
     push(&mut queue, Given { due: 9_000, ..PLAIN }, start);
-    assert_eq!(queue.next(&lanes, later).map(|it| it.upstream), Some(first));
+    assert_eq!(queue.next_call(&targets, later).map(|it| it.upstream), Some(first));
 }
 
-/// Symptom: upstreams refuse pieces for want of room although results were given up.
-/// Sequence: results are given up; before the upstream is told, the next call goes out.
-/// Cause: room counted as free when nobody needed the results, not when they were dropped.
+/// Guards against upstreams that refuse pieces for lack of space although results were released:
+/// the next call goes out before the upstream is told of the release. Space is free only once the
+/// upstream has dropped the results.
 #[test]
 fn room_is_free_once_the_upstream_dropped_the_results() {
     let now = Instant::now();
-    let lanes = [lane("u", "d")];
+    let targets = [target("u", "d")];
     let mut queue = Queue::new(SPEC);
     let large = Given { bytes: 7_000_000, ..PLAIN };
     push(&mut queue, Given { pieces: 2, ..large }, now);
-    assert_eq!(queue.next(&lanes, now).map(|it| it.pieces.len()), Some(2));
-    queue.ended("u", 2, Some(Duration::from_millis(240)), now);
-    queue.kept("u", 7_000_000, "h-1".into(), now);
-    queue.kept("u", 7_000_000, "h-2".into(), now);
+    assert_eq!(queue.next_call(&targets, now).map(|it| it.pieces.len()), Some(2));
+    queue.call_ended("u", 2, Some(Duration::from_millis(240)), now);
+    queue.result_stored("u", 7_000_000, "h-1".into(), now);
+    queue.result_stored("u", 7_000_000, "h-2".into(), now);
     push(&mut queue, large, now);
-    assert!(queue.next(&lanes, now).is_none(), "there is no room");
-    queue.freed("u", &["h-1".into()]);
-    assert_eq!(queue.next(&lanes, now).map(|it| it.pieces.len()), Some(1));
+    assert!(queue.next_call(&targets, now).is_none(), "there is no room");
+    queue.results_freed("u", &["h-1".into()]);
+    assert_eq!(queue.next_call(&targets, now).map(|it| it.pieces.len()), Some(1));
 }
 
-/// Symptom: an upstream that has started again gets no calls, or calls that are not full, for as long
-/// as its results would have been kept.
-/// Sequence: it keeps results, ends, starts again under its old id, and keeps nothing.
-/// Cause: what was believed of the life before counts for the new one.
+/// Guards against an upstream that has restarted and gets no calls, or calls that are not full, for
+/// as long as its results would have been stored: it ends with stored results and starts again,
+/// empty, under its old id. What was known of the earlier incarnation must not count.
 #[test]
 fn an_upstream_that_started_again_keeps_nothing() {
     let now = Instant::now();
     let mut queue = Queue::new(SPEC);
-    let lanes = [lane("u", "a")];
+    let targets = [target("u", "a")];
     let large = Given { pieces: 4, bytes: SPEC.room / 5, ..PLAIN };
     push(&mut queue, large, now);
-    let first = queue.next(&lanes, now).expect("a call");
-    queue.ended("u", first.pieces.len(), Some(first.expected * 8), now);
+    let first = queue.next_call(&targets, now).expect("a call");
+    queue.call_ended("u", first.pieces.len(), Some(first.expected * 8), now);
     for piece in &first.pieces {
-        queue.kept("u", piece.size, format!("h-{}", piece.segment).into(), now);
+        queue.result_stored("u", piece.result_bytes, format!("h-{}", piece.segment).into(), now);
     }
     push(&mut queue, large, now);
-    assert!(queue.next(&lanes, now).is_none(), "there is no room");
-    queue.reborn("u");
-    let next = queue.next(&lanes, now).expect("a call to the new life");
+    assert!(queue.next_call(&targets, now).is_none(), "there is no room");
+    queue.restarted("u");
+    let next = queue.next_call(&targets, now).expect("a call after the restart");
     assert_eq!(next.pieces.len(), 4);
     assert_eq!(next.expected, first.expected, "it is as fast as announced again");
 }
 
-/// Pieces use up their sends on upstreams that are full, or about to end, within milliseconds.
+/// Guards against pieces that use up their sends within milliseconds on upstreams that are full or
+/// about to shut down.
 #[test]
 fn an_upstream_that_can_take_no_call_is_left_alone_for_a_while() {
     struct Case {
         name: &'static str,
         note: fn(&mut Queue, &str, Instant),
-        rests: Duration,
+        backoff: Duration,
     }
     let cases = [
-        Case { name: "full", note: Queue::full, rests: SPEC.call },
-        Case { name: "a call lost", note: Queue::lost, rests: Duration::from_millis(150) },
+        Case { name: "full", note: Queue::call_refused, backoff: SPEC.call },
+        Case { name: "a call lost", note: Queue::call_lost, backoff: Duration::from_millis(150) },
     ];
-    for Case { name, note, rests } in cases {
+    for Case { name, note, backoff } in cases {
         let now = Instant::now();
-        let lanes = [lane("u", "d")];
+        let targets = [target("u", "d")];
         let mut queue = Queue::new(SPEC);
         push(&mut queue, PLAIN, now);
-        let first = queue.next(&lanes, now).expect("a call");
-        queue.ended("u", first.pieces.len(), None, now);
+        let first = queue.next_call(&targets, now).expect("a call");
+        queue.call_ended("u", first.pieces.len(), None, now);
         note(&mut queue, "u", now);
         push(&mut queue, PLAIN, now);
-        assert!(queue.next(&lanes, now).is_none(), "{name}: it got the next at once");
-        let almost = now + rests - Duration::from_millis(1);
-        assert!(queue.next(&lanes, almost).is_none(), "{name}: too soon");
-        assert!(queue.next(&lanes, now + rests).is_some(), "{name}: left out for good");
+        assert!(queue.next_call(&targets, now).is_none(), "{name}: it got the next call at once");
+        let almost = now + backoff - Duration::from_millis(1);
+        assert!(queue.next_call(&targets, almost).is_none(), "{name}: too soon");
+        assert!(
+            queue.next_call(&targets, now + backoff).is_some(),
+            "{name}: it never gets a call again"
+        );
     }
 }
 
@@ -314,15 +318,15 @@
     name: &'static str,
     /// What the upstream has free before the first call, in results.
     free: u64,
-    /// How many results of the owner before are given up then.
+    /// How many results of the previous owner are released then.
     freed: usize,
-    /// How long after its word the call goes out, in ms.
+    /// How long after the upstream's report the call goes out, in ms.
     later: u64,
-    /// The pieces of the call, of eight that wait.
+    /// The number of pieces in the call; eight wait.
     pieces: Option<usize>,
 }
 
-const FOREIGN: &[ForeignCase] = &[
+const FOREIGN_CASES: &[ForeignCase] = &[
     ForeignCase { name: "empty", free: 10, freed: 0, later: 0, pieces: Some(8) },
     ForeignCase { name: "half full", free: 5, freed: 0, later: 0, pieces: Some(4) },
     ForeignCase { name: "full", free: 0, freed: 0, later: 0, pieces: None },
@@ -330,22 +334,22 @@
     ForeignCase { name: "full, until they end", free: 0, freed: 0, later: 4_001, pieces: Some(8) },
 ];
 
-/// Symptom: in the seconds after a loss of all power, or after a change of owners, stages fail.
-/// Sequence: upstreams keep results that the owner before had made. The new owner fills calls as if
-/// they were empty; pieces without room are sent again until the retry budget ends.
-/// Cause: an owner counted only what it had made itself.
+/// Guards against stages that fail in the seconds after a loss of all power or a change of owners:
+/// upstreams store results of the previous owner, and a new owner that counts only its own results
+/// fills calls as if the upstreams were empty. Pieces without space are sent again until the retry
+/// budget runs out.
 #[test]
 fn a_new_owner_leaves_room_for_what_others_keep() {
     const RESULT: u64 = SPEC.room / 10;
-    for case in FOREIGN {
+    for case in FOREIGN_CASES {
         let now = Instant::now();
         let mut queue = Queue::new(SPEC);
-        queue.set_free("u", case.free * RESULT, now);
+        queue.set_free_bytes("u", case.free * RESULT, now);
         let given = Given { pieces: 8, bytes: RESULT, due: 9_000, ..PLAIN };
         push(&mut queue, given, now);
         let handles: Vec<Arc<str>> = (0..case.freed).map(|it| format!("h-{it}").into()).collect();
-        queue.freed("u", &handles);
-        let next = queue.next(&[lane("u", "a")], now + Duration::from_millis(case.later));
+        queue.results_freed("u", &handles);
+        let next = queue.next_call(&[target("u", "a")], now + Duration::from_millis(case.later));
         assert_eq!(next.map(|it| it.pieces.len()), case.pieces, "{}", case.name);
     }
 }
@@ -354,12 +358,12 @@
     name: &'static str,
     upstreams: usize,
     pieces: u32,
-    /// How long they wait already, in ms.
+    /// How long they have waited already, in ms.
     waited: u64,
     sent: bool,
 }
 
-const LAST: &[LastCase] = &[
+const LAST_CASES: &[LastCase] = &[
     LastCase { name: "others are idle", upstreams: 8, pieces: 1, waited: 0, sent: true },
     LastCase { name: "the last one", upstreams: 1, pieces: 1, waited: 0, sent: false },
     LastCase {
@@ -379,90 +383,99 @@
     LastCase { name: "two of eight", upstreams: 2, pieces: 1, waited: 0, sent: false },
 ];
 
-/// Symptom: pieces wait for the end of whole calls though most calls are far from full.
-/// Sequence: pieces come one by one; each takes an idle upstream until none is left.
-/// Cause: the last idle upstream is taken by a piece alone, a moment before others come.
+/// Guards against pieces that wait for whole calls to end although most calls are far from full:
+/// pieces arrive one by one, and each takes an idle upstream until the last one is taken by a
+/// single piece, a moment before others arrive.
 #[test]
 fn the_last_idle_upstreams_wait_for_fuller_calls() {
-    for case in LAST {
+    for case in LAST_CASES {
         let start = Instant::now();
         let mut queue = Queue::new(SPEC);
-        let lanes: Vec<Lane> = (0..8).map(|it| lane(&format!("u-{it}"), "a")).collect();
+        let targets: Vec<Target> = (0..8).map(|it| target(&format!("u-{it}"), "a")).collect();
         for _ in case.upstreams..8 {
             push(&mut queue, Given { pieces: 8, ..PLAIN }, start);
-            assert!(queue.next(&lanes, start).is_some(), "{}", case.name);
+            assert!(queue.next_call(&targets, start).is_some(), "{}", case.name);
         }
         push(&mut queue, Given { pieces: case.pieces, waited: case.waited, ..PLAIN }, start);
-        let next = queue.next(&lanes, start);
+        let next = queue.next_call(&targets, start);
         assert_eq!(next.is_some(), case.sent, "{}", case.name);
     }
 }
 
-struct Infeasible {
+struct InfeasibleCase {
     name: &'static str,
     pieces: u32,
-    lanes: usize,
+    upstreams: usize,
     ended: usize,
 }
 
-/// A full call takes 360 ms and the last one 220 ms at least, so 11 calls begin in time for a deadline
-/// in 4 s.
-const INFEASIBLE: &[Infeasible] = &[
-    Infeasible { name: "all can be made", pieces: 88, lanes: 1, ended: 0 },
-    Infeasible { name: "some can't", pieces: 200, lanes: 1, ended: 112 },
-    Infeasible { name: "more upstreams make more", pieces: 200, lanes: 2, ended: 24 },
-    Infeasible { name: "no upstream tells nothing", pieces: 200, lanes: 0, ended: 0 },
+/// A full call takes 360 ms and the last one at least 220 ms, so 11 calls start in time for a
+/// deadline in 4 s.
+const INFEASIBLE_CASES: &[InfeasibleCase] = &[
+    InfeasibleCase { name: "all can be made", pieces: 88, upstreams: 1, ended: 0 },
+    InfeasibleCase { name: "some can't", pieces: 200, upstreams: 1, ended: 112 },
+    InfeasibleCase { name: "more upstreams make more", pieces: 200, upstreams: 2, ended: 24 },
+    InfeasibleCase {
+        name: "no upstream, so nothing is known",
+        pieces: 200,
+        upstreams: 0,
+        ended: 0,
+    },
 ];
 
-/// Symptom: callers wait in a burst until they leave, and what was made for them is thrown away.
-/// Sequence: more pieces come than can be made; those that are late stay behind the others.
-/// Cause: a piece that can't be made in time ends only at its deadline.
+/// Guards against callers that wait in a burst until they leave, and results made for them that are
+/// wasted: more pieces arrive than can be made, and those that are late stay behind the others
+/// until their deadline.
 #[test]
 fn a_piece_that_cannot_be_made_in_time_ends_at_once() {
-    for case in INFEASIBLE {
+    for case in INFEASIBLE_CASES {
         let now = Instant::now();
         let mut queue = Queue::new(SPEC);
         push(&mut queue, Given { pieces: case.pieces, ..PLAIN }, now);
-        let ended = queue.take_infeasible(case.lanes, now);
+        let ended = queue.take_infeasible(case.upstreams, now);
         assert_eq!(ended.len(), case.ended, "{}", case.name);
         assert_eq!(queue.len() + ended.len(), case.pieces as usize, "{}", case.name);
     }
 }
 
-struct NeedCase {
+struct LatencyCase {
     name: &'static str,
-    /// What calls took, in ms.
+    /// The times of the calls, in ms.
     took: &'static [u64],
-    lanes: usize,
-    /// What a piece needs at least and at most, in ms.
-    need: (u64, u64),
+    upstreams: usize,
+    /// The bounds of the latency, in ms.
+    latency: (u64, u64),
 }
 
-const NEEDS: &[NeedCase] = &[
-    NeedCase { name: "no call yet", took: &[], lanes: 4, need: (275, 275) },
-    NeedCase { name: "one call", took: &[400], lanes: 4, need: (500, 500) },
-    NeedCase { name: "many upstreams", took: &[400], lanes: 40, need: (410, 410) },
-    NeedCase { name: "no upstream", took: &[400], lanes: 0, need: (800, 800) },
-    NeedCase { name: "calls get longer", took: &[200, 400, 400, 400], lanes: 4, need: (310, 400) },
+const LATENCY_CASES: &[LatencyCase] = &[
+    LatencyCase { name: "no call yet", took: &[], upstreams: 4, latency: (275, 275) },
+    LatencyCase { name: "one call", took: &[400], upstreams: 4, latency: (500, 500) },
+    LatencyCase { name: "many upstreams", took: &[400], upstreams: 40, latency: (410, 410) },
+    LatencyCase { name: "no upstream", took: &[400], upstreams: 0, latency: (800, 800) },
+    LatencyCase {
+        name: "calls get longer",
+        took: &[200, 400, 400, 400],
+        upstreams: 4,
+        latency: (310, 400),
+    },
 ];
 
-/// Symptom: requests with several stages are late by a little under load, though the first stage made
-/// their pieces in time.
-/// Sequence: calls are full, so longer than what the plan announces for a few pieces.
-/// Cause: the first stage leaves the later ones the announced time, not what they need now.
+/// Guards against requests with several stages that are slightly late under load, though the first
+/// stage completed its pieces in time: calls are full, so they take longer than the plan announces
+/// for a few pieces, and the first stage leaves the later ones only the announced time.
 #[test]
-fn what_a_piece_needs_follows_what_calls_take() {
+fn the_least_latency_follows_the_times_of_calls() {
     let now = Instant::now();
-    for case in NEEDS {
+    for case in LATENCY_CASES {
         let mut queue = Queue::new(SPEC);
         for took in case.took {
             push(&mut queue, PLAIN, now);
-            let call = queue.next(&[lane("u", "d")], now).expect("a call");
+            let call = queue.next_call(&[target("u", "d")], now).expect("a call");
             let took = Duration::from_millis(*took);
-            queue.ended(&call.upstream, call.pieces.len(), Some(took), now);
+            queue.call_ended(&call.upstream, call.pieces.len(), Some(took), now);
         }
-        let need = queue.need(case.lanes).as_millis() as u64;
-        let (least, most) = case.need;
-        assert!((least..=most).contains(&need), "{}: {need} ms", case.name);
+        let latency = queue.min_latency(case.upstreams).as_millis() as u64;
+        let (least, most) = case.latency;
+        assert!((least..=most).contains(&latency), "{}: {latency} ms", case.name);
     }
 }
