--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an upstream by expected finish, among a few drawn at random.
+//! Chooses an upstream by expected finish among a few that are drawn at random.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -7,71 +7,75 @@
 use rand::Rng;
 use types::{PoolName, Tokens, UpstreamName};
 
-use crate::affinity::home;
-use crate::clock::Us;
-use crate::eject::Fit;
-use crate::policy::{DIGEST_LAG, DRAWS, LOAD_SLOPE, OTHERS_FLOOR, OTHERS_HALF, SAMPLES};
-use crate::pool::{Pool, Shared, View};
+use crate::affinity::home_index;
+use crate::clock::Micros;
+use crate::eject::Availability;
+use crate::policy::{
+    DIGEST_LAG_US, LOAD_SLOWDOWN, MAX_DRAWS, OTHERS_HALF_AGE_MAX_US, OTHERS_HALF_AGE_MIN_US,
+    PICK_SAMPLES,
+};
+use crate::pool::{EntryView, Pool, PoolState};
 use crate::table::UpstreamView;
 
-/// What a stage call asks of the choice.
+/// What a stage's call requires of an upstream.
 #[derive(Clone, Debug)]
 pub struct PickAsk<'a> {
     /// The pool.
     pub pool: &'a PoolName,
-    /// A hash of the prompt's prefix, where its cache is worth something.
+    /// A hash of the prompt's prefix, if caching it is useful.
     pub prefix: Option<u64>,
-    /// Upstreams that this stage already tried.
+    /// Upstreams that this stage has already tried.
     pub exclude: &'a [UpstreamName],
-    /// The time that is left for the stage.
+    /// The time left for the stage.
     pub left: Duration,
 }
 
-/// A chosen upstream; counts as in flight until dropped.
+/// A chosen upstream. Counts as a call in flight until dropped.
 #[derive(Debug)]
 pub struct Pick {
     /// The upstream.
     pub upstream: Arc<UpstreamView>,
-    /// How long the first byte may take before the connection counts as silent.
+    /// The time to the first byte after which the connection counts as silent.
     pub first_byte: Duration,
-    /// After how long a second call to another upstream is worth it, if at all.
+    /// The delay after which a second call to another upstream is worth it, if at all.
     pub hedge_after: Option<Duration>,
-    pub(crate) pool: Arc<Shared>,
-    pub(crate) at: Us,
+    pub(crate) pool: Arc<PoolState>,
+    pub(crate) start: Micros,
     pub(crate) probe: bool,
-    /// The prefix, and whether the upstream was believed to hold it.
+    /// The prefix, and whether the upstream was expected to have it cached.
     pub(crate) prefix: Option<(u64, bool)>,
 }
 
 impl Drop for Pick {
     fn drop(&mut self) {
-        self.upstream.known.own.fetch_sub(1, Ordering::Relaxed);
+        self.upstream.state.own_calls.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// How a call ended, for the statistics of its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// It gave its whole result.
+    /// The upstream returned the complete result.
     Ok {
-        /// Time to the first byte.
+        /// The time to the first byte.
         first_byte: Duration,
-        /// Time to the last byte.
+        /// The time to the last byte.
         total: Duration,
-        /// Tokens generated.
+        /// The number of tokens generated.
         tokens: Tokens,
     },
     /// The connection could not be opened.
     Refused,
-    /// The upstream said that it takes no more work for now.
+    /// The upstream reported that it accepts no more work for now.
     Busy,
-    /// The upstream said that it is leaving.
+    /// The upstream reported that it is leaving.
     Leaving,
-    /// It broke off, or answered with an error or a wrong echo.
+    /// The connection broke, or the answer was an error or had a wrong echo.
     Failed,
-    /// It made no progress within its limit.
+    /// The call made no progress within its limit.
     Silent,
-    /// The entry gave it up for a reason that is not the upstream's: caller gone, hedge lost.
+    /// The entry abandoned the call for a reason unrelated to the upstream: the caller left, or
+    /// another call of the same hedge won.
     Abandoned,
 }
 
@@ -79,35 +83,35 @@
 #[derive(Clone, Copy)]
 struct Candidate<'a> {
     view: &'a Arc<UpstreamView>,
-    /// When a call started now is expected to end, in microseconds from now.
+    /// The expected end of a call that starts now, in microseconds from now.
     finish: f64,
     probe: bool,
     warm: bool,
 }
 
-/// One choice in the making.
+/// The state of one choice.
 pub(crate) struct Choice<'a> {
     pool: &'a Pool,
     ask: &'a PickAsk<'a>,
-    view: View,
-    now: Us,
+    view: EntryView,
+    now: Micros,
     mean: f64,
-    others: f64,
+    other_load: f64,
     best: Option<Candidate<'a>>,
 }
 
 impl<'a> Choice<'a> {
-    pub(crate) fn new(pool: &'a Pool, ask: &'a PickAsk<'a>, view: View, now: Us) -> Self {
-        let mean = pool.shared.mean(now);
-        let others = pool.shared.others.get();
-        Self { pool, ask, view, now, mean, others, best: None }
+    pub(crate) fn new(pool: &'a Pool, ask: &'a PickAsk<'a>, view: EntryView, now: Micros) -> Self {
+        let mean = pool.state.mean(now);
+        let other_load = pool.state.other_load.get();
+        Self { pool, ask, view, now, mean, other_load, best: None }
     }
 
-    /// Returns the upstream with the earliest expected finish among a few drawn at random and
-    /// those that may hold the prefix. Entries that share one stale view would all choose its
-    /// single best upstream and bury it; drawn sets differ, so they spread, and comparing even
-    /// two of them keeps the longest queue short.
-    pub(crate) fn make(mut self, rng: &mut impl Rng) -> Option<Pick> {
+    /// Returns the upstream with the earliest expected finish among a few drawn at random and those
+    /// that may have the prefix cached. If entries that share one outdated view compared all
+    /// upstreams, all would choose the same best one and overload it. Random samples differ, so
+    /// calls spread, and comparing even two upstreams keeps the longest queue short.
+    pub(crate) fn choose(mut self, rng: &mut impl Rng) -> Option<Pick> {
         if self.view.rules.affinity && self.view.rules.finish {
             self.consider_holders();
         }
@@ -127,38 +131,39 @@
     }
 
     fn consider_drawn(&mut self, count: usize, rng: &mut impl Rng) {
-        let samples = if self.view.rules.finish { SAMPLES.min(count) } else { 1 };
+        let samples = if self.view.rules.finish { PICK_SAMPLES.min(count) } else { 1 };
         let mut found = 0;
         let mut last = count;
-        for _ in 0..DRAWS {
-            let place = ((u64::from(rng.next_u32()) * count as u64) >> 32) as usize;
-            if place == last {
+        for _ in 0..MAX_DRAWS {
+            let index = ((u64::from(rng.next_u32()) * count as u64) >> 32) as usize;
+            if index == last {
                 continue;
             }
-            last = place;
-            found += usize::from(self.consider(&self.pool.upstreams[place], 0.0, false));
+            last = index;
+            found += usize::from(self.consider(&self.pool.upstreams[index], 0.0, false));
             if found >= samples {
                 return;
             }
         }
     }
 
-    /// Looks at every upstream, from a given one on so that equals are spread.
+    /// Considers all upstreams, beginning at index `from`, so that equal ones get calls evenly.
     fn consider_all(&mut self, from: usize) {
         let count = self.pool.upstreams.len();
-        for place in 0..count {
-            self.consider(&self.pool.upstreams[(from % count + place) % count], 0.0, false);
+        for index in 0..count {
+            self.consider(&self.pool.upstreams[(from % count + index) % count], 0.0, false);
         }
     }
 
-    /// Where nothing else is left, an ejected upstream beats refusing; a leaving one does not.
+    /// Considers ejected upstreams, which are better than a refusal if nothing else is left.
+    /// Leaving ones are not.
     fn consider_ejected(&mut self, from: usize) {
         let count = self.pool.upstreams.len();
-        for place in 0..count {
-            let view = &self.pool.upstreams[(from % count + place) % count];
-            if !view.known.health.leaving() && !self.tried(view) {
-                let finish = self.finish(view, self.load(view));
-                self.keep(Candidate { view, finish, probe: true, warm: false });
+        for index in 0..count {
+            let view = &self.pool.upstreams[(from % count + index) % count];
+            if !view.state.health.is_leaving() && !self.is_excluded(view) {
+                let finish = self.expected_finish(view, self.expected_load(view));
+                self.keep_best(Candidate { view, finish, probe: true, warm: false });
             }
         }
     }
@@ -167,88 +172,91 @@
         let Some(prefix) = self.ask.prefix else {
             return;
         };
-        let prefixes = &self.pool.shared.prefixes;
+        let prefixes = &self.pool.state.prefixes;
         let gain = prefixes.gain(self.now);
-        let held = prefixes.find(prefix, self.now);
-        let holder = held.and_then(|it| Some((self.pool.tagged(it.tag)?, it.odds)));
+        let held = prefixes.lookup(prefix, self.now);
+        let holder =
+            held.and_then(|it| Some((self.pool.by_name_hash(it.name_hash)?, it.probability)));
         match holder {
-            Some((view, odds)) => self.consider(view, gain * odds, true),
+            Some((view, probability)) => self.consider(view, gain * probability, true),
             None if self.pool.upstreams.is_empty() => false,
             None => {
-                let view = &self.pool.upstreams[home(prefix, self.pool.upstreams.len())];
+                let view = &self.pool.upstreams[home_index(prefix, self.pool.upstreams.len())];
                 self.consider(view, gain / 2.0, false)
             }
         };
     }
 
-    /// Compares an upstream with the best so far; returns whether it may be chosen at all.
+    /// Compares an upstream with the best so far. Returns whether it may be chosen at all.
     fn consider(&mut self, view: &'a Arc<UpstreamView>, gain: f64, warm: bool) -> bool {
-        let fit = view.known.health.fit(self.now);
-        if matches!(fit, Fit::Ejected | Fit::Leaving) || self.tried(view) {
+        let availability = view.state.health.availability(self.now);
+        if matches!(availability, Availability::Ejected | Availability::Leaving)
+            || self.is_excluded(view)
+        {
             return false;
         }
-        if fit == Fit::Probe {
+        if availability == Availability::Probe {
             return self.probe(view);
         }
-        // The gain is time like the rest, so a popular prefix draws calls to its upstream only until
-        // the wait there outweighs it: no other bound on its load is needed.
-        let finish = self.finish(view, self.load(view)) - gain;
-        self.keep(Candidate { view, finish, probe: false, warm });
+        // The gain is subtracted as time. So a popular prefix attracts calls to its upstream only
+        // until the wait there exceeds the gain, and no other limit on its load is needed.
+        let finish = self.expected_finish(view, self.expected_load(view)) - gain;
+        self.keep_best(Candidate { view, finish, probe: false, warm });
         true
     }
 
-    /// Chooses an ejected upstream for one call if it is due and the request has the time to go
-    /// elsewhere after it.
+    /// Chooses an ejected upstream for a probe if it is due and enough time is left to call another
+    /// one afterwards.
     fn probe(&mut self, view: &'a Arc<UpstreamView>) -> bool {
-        let spare = self.ask.left.as_micros() as f64 > 3.0 * self.mean;
-        let probing = self.best.is_some_and(|it| it.probe);
-        if !spare || probing || !view.known.health.claim(self.now) {
+        let has_time = self.ask.left.as_micros() as f64 > 3.0 * self.mean;
+        let has_probe = self.best.is_some_and(|it| it.probe);
+        if !has_time || has_probe || !view.state.health.claim_probe(self.now) {
             return false;
         }
         self.best = Some(Candidate { view, finish: f64::MIN, probe: true, warm: false });
         true
     }
 
-    fn keep(&mut self, candidate: Candidate<'a>) {
+    fn keep_best(&mut self, candidate: Candidate<'a>) {
         if self.best.is_none_or(|best| candidate.finish < best.finish) {
             self.best = Some(candidate);
         }
     }
 
-    fn tried(&self, view: &UpstreamView) -> bool {
+    fn is_excluded(&self, view: &UpstreamView) -> bool {
         self.ask.exclude.contains(&view.name)
     }
 
-    fn load(&self, view: &UpstreamView) -> f64 {
-        let mean = self.others * f64::from(view.spec.capacity);
-        let age = self.view.digest_age.unwrap_or(Us::MAX / 2);
-        // What was seen of the others is worth little once most of those calls have ended.
-        let half = (self.mean as Us).clamp(OTHERS_FLOOR, OTHERS_HALF);
-        view.known.load(mean, age.saturating_add(DIGEST_LAG), half, self.now)
+    fn expected_load(&self, view: &UpstreamView) -> f64 {
+        let mean = self.other_load * f64::from(view.spec.capacity);
+        let age = self.view.digest_age.unwrap_or(Micros::MAX / 2);
+        // The counts of other entries' calls are worth little once most of these calls have ended.
+        let half_age = (self.mean as Micros).clamp(OTHERS_HALF_AGE_MIN_US, OTHERS_HALF_AGE_MAX_US);
+        view.state.expected_load(mean, age.saturating_add(DIGEST_LAG_US), half_age, self.now)
     }
 
-    /// A call takes its measured time, a little more the fuller the upstream is, and waits for
-    /// its turn where the upstream is full.
-    fn finish(&self, view: &UpstreamView, load: f64) -> f64 {
+    /// Returns the expected time until a call to the upstream ends, in microseconds: its measured
+    /// time, somewhat more at higher load, and the wait for a slot if the upstream is full.
+    fn expected_finish(&self, view: &UpstreamView, load: f64) -> f64 {
         let capacity = f64::from(view.spec.capacity.max(1));
-        let time = view.known.time(self.mean, self.now);
+        let time = view.state.expected_time(self.mean, self.now);
         let waits = (load + 1.0 - capacity).max(0.0) / capacity;
-        time * (1.0 + LOAD_SLOPE * (load / capacity).min(1.0) + waits)
+        time * (1.0 + LOAD_SLOWDOWN * (load / capacity).min(1.0) + waits)
     }
 
     fn pick(&self, best: Candidate<'a>) -> Pick {
-        let shared = &self.pool.shared;
-        best.view.known.began(self.now);
+        let state = &self.pool.state;
+        best.view.state.call_started(self.now);
         let prefix = self.ask.prefix.map(|it| (it, best.warm));
         if let Some((prefix, _)) = prefix {
-            shared.prefixes.learn(prefix, best.view.known.tag, self.now);
+            state.prefixes.record(prefix, best.view.state.name_hash, self.now);
         }
         Pick {
             upstream: Arc::clone(best.view),
-            first_byte: Duration::from_micros(shared.first_limit()),
-            hedge_after: crate::hedge::delay(shared, &self.view, self.ask.left, self.mean),
-            pool: Arc::clone(shared),
-            at: self.now,
+            first_byte: Duration::from_micros(state.first_byte_limit()),
+            hedge_after: crate::hedge::delay(state, &self.view, self.ask.left, self.mean),
+            pool: Arc::clone(state),
+            start: self.now,
             probe: best.probe,
             prefix,
         }
--- a/crates/routing/src/decisions.rs
+++ b/crates/routing/src/decisions.rs
@@ -7,25 +7,27 @@
 use arc_swap::ArcSwapOption;
 use types::RefusalReason;
 
-use crate::clock::{Clock, Us};
+use crate::clock::{Clock, Micros};
 
 /// The number of decisions kept.
-const KEPT: usize = 256;
+const MAX_DECISIONS: usize = 256;
 
-/// The least time between two kept refusals: in an overload thousands a second would cost more
-/// than the refusing and push everything else out. All are counted.
-const REFUSAL_GAP: Us = 20_000;
+/// The minimum time between two refusals that are kept. Under overload there are thousands a
+/// second; keeping them would cost more than refusing and would displace everything else. All are
+/// counted.
+const REFUSAL_GAP_US: Micros = 20_000;
 
-/// One refusal, ejection, hedge or retry, and why.
+/// One refusal, ejection, hedge or retry, and its reason.
 #[derive(Clone, Debug)]
 pub struct Decision {
-    /// When it was taken.
+    /// When the decision was made.
     pub at: Instant,
-    /// What was decided: `refuse`, `eject`, `keep` (in spite of failures), `return`, `hedge`, `retry`.
+    /// What was decided: `refuse`, `eject`, `keep` (in spite of failures), `return`, `hedge`,
+    /// `retry`.
     pub what: &'static str,
-    /// The upstream, pool or customer it is about.
+    /// The upstream, pool or customer that it concerns.
     pub subject: String,
-    /// Why, in plain words.
+    /// The reason, with details.
     pub why: String,
 }
 
@@ -42,11 +44,11 @@
 
 /// A kind of decision with its reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Why {
+pub(crate) enum DecisionKind {
     Refused(RefusalReason),
     EjectErrors,
     EjectSilent,
-    Left,
+    Leaving,
     KeptLast,
     Returned,
     Rejoined,
@@ -68,122 +70,133 @@
     RefusalReason::NoQuorum,
 ];
 
-const OTHERS: [Why; 8] = [
-    Why::EjectErrors,
-    Why::EjectSilent,
-    Why::Left,
-    Why::KeptLast,
-    Why::Returned,
-    Why::Rejoined,
-    Why::Hedge,
-    Why::Retry,
+const OTHER_KINDS: [DecisionKind; 8] = [
+    DecisionKind::EjectErrors,
+    DecisionKind::EjectSilent,
+    DecisionKind::Leaving,
+    DecisionKind::KeptLast,
+    DecisionKind::Returned,
+    DecisionKind::Rejoined,
+    DecisionKind::Hedge,
+    DecisionKind::Retry,
 ];
 
-const KINDS: usize = REASONS.len() + OTHERS.len();
+const KIND_COUNT: usize = REASONS.len() + OTHER_KINDS.len();
 
-impl Why {
-    fn place(self) -> usize {
+impl DecisionKind {
+    fn index(self) -> usize {
         let known = match self {
-            Why::Refused(reason) => REASONS.iter().position(|it| *it == reason),
-            other => OTHERS.iter().position(|it| *it == other).map(|it| it + REASONS.len()),
+            DecisionKind::Refused(reason) => REASONS.iter().position(|it| *it == reason),
+            other => OTHER_KINDS.iter().position(|it| *it == other).map(|it| it + REASONS.len()),
         };
         known.unwrap_or(0)
     }
 
-    fn at(place: usize) -> Self {
-        match REASONS.get(place) {
-            Some(reason) => Why::Refused(*reason),
-            None => OTHERS[place - REASONS.len()],
+    fn from_index(index: usize) -> Self {
+        match REASONS.get(index) {
+            Some(reason) => DecisionKind::Refused(*reason),
+            None => OTHER_KINDS[index - REASONS.len()],
         }
     }
 
     fn what(self) -> &'static str {
         match self {
-            Why::Refused(_) => "refuse",
-            Why::EjectErrors | Why::EjectSilent | Why::Left => "eject",
-            Why::KeptLast => "keep",
-            Why::Returned | Why::Rejoined => "return",
-            Why::Hedge => "hedge",
-            Why::Retry => "retry",
+            DecisionKind::Refused(_) => "refuse",
+            DecisionKind::EjectErrors | DecisionKind::EjectSilent | DecisionKind::Leaving => {
+                "eject"
+            }
+            DecisionKind::KeptLast => "keep",
+            DecisionKind::Returned | DecisionKind::Rejoined => "return",
+            DecisionKind::Hedge => "hedge",
+            DecisionKind::Retry => "retry",
         }
     }
 
     fn reason(self) -> &'static str {
         match self {
-            Why::Refused(reason) => reason.as_str(),
-            Why::EjectErrors => "errors",
-            Why::EjectSilent => "silent",
-            Why::Left => "leaving",
-            Why::KeptLast => "too-many-ejected",
-            Why::Returned => "probe-succeeded",
-            Why::Rejoined => "live-again",
-            Why::Hedge => "late-first-byte",
-            Why::Retry => "call-failed",
+            DecisionKind::Refused(reason) => reason.as_str(),
+            DecisionKind::EjectErrors => "errors",
+            DecisionKind::EjectSilent => "silent",
+            DecisionKind::Leaving => "leaving",
+            DecisionKind::KeptLast => "too-many-ejected",
+            DecisionKind::Returned => "probe-succeeded",
+            DecisionKind::Rejoined => "live-again",
+            DecisionKind::Hedge => "late-first-byte",
+            DecisionKind::Retry => "call-failed",
         }
     }
 }
 
-/// The ring and the counters. Readers see a decision whole or not at all; writers never wait.
+/// A ring of decisions, and counters. Readers see a decision completely or not at all; writers
+/// never wait.
 #[derive(Debug)]
-pub(crate) struct Log {
+pub(crate) struct DecisionLog {
     clock: Arc<Clock>,
     ring: Box<[ArcSwapOption<Decision>]>,
     next: AtomicUsize,
-    counts: [AtomicU64; KINDS],
-    refusal: AtomicU64,
+    counts: [AtomicU64; KIND_COUNT],
+    last_refusal: AtomicU64,
 }
 
-impl Log {
+impl DecisionLog {
     pub(crate) fn new(clock: Arc<Clock>) -> Self {
         Self {
             clock,
-            ring: (0..KEPT).map(|_| ArcSwapOption::empty()).collect(),
+            ring: (0..MAX_DECISIONS).map(|_| ArcSwapOption::empty()).collect(),
             next: AtomicUsize::new(0),
-            counts: [const { AtomicU64::new(0) }; KINDS],
-            refusal: AtomicU64::new(0),
+            counts: [const { AtomicU64::new(0) }; KIND_COUNT],
+            last_refusal: AtomicU64::new(0),
         }
     }
 
-    /// Counts a decision and keeps it; `note` is only called where it is kept.
-    pub(crate) fn note(&self, why: Why, subject: &str, now: Us, note: impl FnOnce() -> String) {
-        self.counts[why.place()].fetch_add(1, Ordering::Relaxed);
-        if matches!(why, Why::Refused(_)) && !self.refusal_due(now) {
+    /// Counts a decision and keeps it. `detail` is only called if it is kept.
+    pub(crate) fn record(
+        &self,
+        kind: DecisionKind,
+        subject: &str,
+        now: Micros,
+        detail: impl FnOnce() -> String,
+    ) {
+        self.counts[kind.index()].fetch_add(1, Ordering::Relaxed);
+        if matches!(kind, DecisionKind::Refused(_)) && !self.is_refusal_due(now) {
             return;
         }
-        let Some(at) = self.clock.instant(now) else {
+        let Some(at) = self.clock.to_instant(now) else {
             return;
         };
-        let why_text = format!("{}: {}", why.reason(), note());
+        let why_text = format!("{}: {}", kind.reason(), detail());
         let decision =
-            Decision { at, what: why.what(), subject: subject.to_owned(), why: why_text };
-        let place = self.next.fetch_add(1, Ordering::Relaxed) % KEPT;
-        self.ring[place].store(Some(Arc::new(decision)));
+            Decision { at, what: kind.what(), subject: subject.to_owned(), why: why_text };
+        let index = self.next.fetch_add(1, Ordering::Relaxed) % MAX_DECISIONS;
+        self.ring[index].store(Some(Arc::new(decision)));
     }
 
-    /// Returns the decisions kept, newest first.
+    /// Returns the decisions that are kept, newest first.
     pub(crate) fn latest(&self) -> Vec<Decision> {
         let next = self.next.load(Ordering::Relaxed);
-        let places = (0..KEPT).map(|back| (next + KEPT - 1 - back) % KEPT);
-        let kept = places.filter_map(|place| self.ring[place].load_full());
+        let indices =
+            (0..MAX_DECISIONS).map(|back| (next + MAX_DECISIONS - 1 - back) % MAX_DECISIONS);
+        let kept = indices.filter_map(|index| self.ring[index].load_full());
         kept.map(|it| Decision::clone(&it)).collect()
     }
 
     /// Returns the counters that are not zero.
     pub(crate) fn counters(&self) -> Vec<Counter> {
-        let all = self.counts.iter().enumerate().map(|(place, count)| {
-            let why = Why::at(place);
+        let all = self.counts.iter().enumerate().map(|(index, count)| {
+            let kind = DecisionKind::from_index(index);
             let count = count.load(Ordering::Relaxed);
-            Counter { what: why.what(), reason: why.reason(), count }
+            Counter { what: kind.what(), reason: kind.reason(), count }
         });
         all.filter(|it| it.count > 0).collect()
     }
 
-    fn refusal_due(&self, now: Us) -> bool {
-        let last = self.refusal.load(Ordering::Relaxed);
-        if now < last.saturating_add(REFUSAL_GAP) {
+    fn is_refusal_due(&self, now: Micros) -> bool {
+        let last = self.last_refusal.load(Ordering::Relaxed);
+        if now < last.saturating_add(REFUSAL_GAP_US) {
             return false;
         }
-        let swap = self.refusal.compare_exchange(last, now, Ordering::Relaxed, Ordering::Relaxed);
+        let swap =
+            self.last_refusal.compare_exchange(last, now, Ordering::Relaxed, Ordering::Relaxed);
         swap.is_ok()
     }
 }
--- a/crates/routing/src/eject.rs
+++ b/crates/routing/src/eject.rs
@@ -1,20 +1,22 @@
-//! Which upstreams take no work for now: failing ones, stragglers, leaving ones.
+//! Outlier ejection: decides which upstreams get no calls because they fail, are silent or are
+//! leaving.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
-use crate::clock::Us;
+use crate::clock::Micros;
 use crate::policy::{
-    EJECT_FIRST, EJECT_LONGEST, EJECT_SCORE, FAILED_SCORE, LEAVING_HOLD, OK_SCORE, REFUSED_SCORE,
+    EJECT_BASE_US, EJECT_SCORE, FAILED_SCORE, LEAVING_HOLD_US, MAX_EJECT_US, REFUSED_SCORE,
+    SUCCESS_SCORE,
 };
 
-/// Whole answers after which an upstream's earlier ejections no longer count.
-const FORGIVEN: u32 = 32;
+/// Complete answers after which earlier ejections no longer count.
+const STREAK_RESET_ANSWERS: u32 = 32;
 
 /// Whether an upstream may get a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fit {
-    /// It may.
-    Yes,
+pub(crate) enum Availability {
+    /// It may get calls.
+    Available,
     /// It is ejected and due for a probe.
     Probe,
     /// It is ejected.
@@ -23,7 +25,7 @@
     Leaving,
 }
 
-/// Why an upstream is ejected.
+/// The kind of failure that an upstream is ejected for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     Failed,
@@ -34,84 +36,86 @@
 /// The health of one upstream.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
-    /// Rises with failures and falls with whole answers.
+    /// Rises with failures and falls with complete answers.
     score: AtomicU32,
-    /// Silent calls since the last byte of anything.
+    /// Silent calls since the last complete answer.
     silent: AtomicU32,
-    /// When it may be probed; 0 while it is not ejected.
-    until: AtomicU64,
+    /// When the upstream may be probed; 0 while it is not ejected.
+    ejected_until: AtomicU64,
     /// Ejections in a row.
     streak: AtomicU32,
-    /// Whole answers since the last ejection.
-    good: AtomicU32,
-    /// When it was last seen to be leaving; 0 for never.
-    left: AtomicU64,
-    /// The digest current at that time.
-    left_seen: AtomicU64,
-    /// Whether a digest called it leaving; 1 or 0.
-    told: AtomicU32,
-    /// Whether the service marks it as leaving; 1 or 0.
-    marked: AtomicU32,
+    /// Complete answers since the last ejection.
+    successes: AtomicU32,
+    /// When the upstream was last reported as leaving; 0 if it is not leaving.
+    leaving_since: AtomicU64,
+    /// The sequence number of the digest that was current then.
+    leaving_digest: AtomicU64,
+    /// Whether a digest has reported the upstream as leaving; 1 or 0.
+    digest_leaving: AtomicU32,
+    /// Whether the service marks the upstream as leaving; 1 or 0.
+    marked_leaving: AtomicU32,
 }
 
-/// What a digest changed about an upstream.
+/// A change of an upstream's standing that a digest reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Told {
-    /// It leaves.
-    Left,
-    /// It is back.
-    Back,
+pub(crate) enum DigestChange {
+    /// It is leaving.
+    Leaving,
+    /// It is live again.
+    Returned,
 }
 
 impl Health {
-    /// Takes the operator's mark.
-    pub(crate) fn mark(&self, leaving: bool) {
-        self.marked.store(u32::from(leaving), Ordering::Relaxed);
+    /// Sets the operator's leaving mark.
+    pub(crate) fn set_operator_mark(&self, leaving: bool) {
+        self.marked_leaving.store(u32::from(leaving), Ordering::Relaxed);
     }
 
-    /// Tells whether the upstream may get a call.
-    pub(crate) fn fit(&self, now: Us) -> Fit {
-        if self.leaving() {
-            return Fit::Leaving;
+    /// Returns whether the upstream may get a call.
+    pub(crate) fn availability(&self, now: Micros) -> Availability {
+        if self.is_leaving() {
+            return Availability::Leaving;
         }
-        match self.until.load(Ordering::Relaxed) {
-            0 => Fit::Yes,
-            until if now >= until => Fit::Probe,
-            _ => Fit::Ejected,
+        match self.ejected_until.load(Ordering::Relaxed) {
+            0 => Availability::Available,
+            until if now >= until => Availability::Probe,
+            _ => Availability::Ejected,
         }
     }
 
-    /// Tells whether it is leaving.
-    pub(crate) fn leaving(&self) -> bool {
-        self.left.load(Ordering::Relaxed) != 0 || self.marked.load(Ordering::Relaxed) != 0
+    /// Returns whether the upstream is leaving.
+    pub(crate) fn is_leaving(&self) -> bool {
+        self.leaving_since.load(Ordering::Relaxed) != 0
+            || self.marked_leaving.load(Ordering::Relaxed) != 0
     }
 
-    /// Tells whether it is ejected, due for a probe or not.
-    pub(crate) fn ejected(&self) -> bool {
-        self.until.load(Ordering::Relaxed) != 0
+    /// Returns whether the upstream is ejected, due for a probe or not.
+    pub(crate) fn is_ejected(&self) -> bool {
+        self.ejected_until.load(Ordering::Relaxed) != 0
     }
 
-    /// Tells whether it is ejected or failed lately.
-    pub(crate) fn troubled(&self) -> bool {
-        self.ejected() || self.score.load(Ordering::Relaxed) > 0
+    /// Returns whether the upstream is ejected or failed recently.
+    pub(crate) fn is_degraded(&self) -> bool {
+        self.is_ejected() || self.score.load(Ordering::Relaxed) > 0
     }
 
-    /// Takes the next probe for the caller: no other gets it until `next`. Without this every
-    /// request would probe at once and an upstream that is still down would fail them all.
-    pub(crate) fn claim(&self, now: Us) -> bool {
-        let until = self.until.load(Ordering::Relaxed);
+    /// Claims the next probe: no other caller gets one before `next`. Otherwise all requests would
+    /// probe at once, and an upstream that is still down would fail them all.
+    pub(crate) fn claim_probe(&self, now: Micros) -> bool {
+        let until = self.ejected_until.load(Ordering::Relaxed);
         if until == 0 || now < until {
             return false;
         }
-        let next = now + self.pause();
-        let swap = self.until.compare_exchange(until, next, Ordering::Relaxed, Ordering::Relaxed);
+        let next = now + self.eject_time();
+        let swap =
+            self.ejected_until.compare_exchange(until, next, Ordering::Relaxed, Ordering::Relaxed);
         swap.is_ok()
     }
 
-    /// Takes a failure; returns whether the upstream should be ejected. A silent connection says
-    /// little of the upstream, for something between may have lost track of it; a row of them over
-    /// new connections does, so each counts one more than the one before.
-    pub(crate) fn failed(&self, fault: Fault) -> bool {
+    /// Records a failure, and returns whether the upstream should be ejected. A silent connection
+    /// says little about the upstream, because something in between may have lost the connection.
+    /// Several in a row on new connections do, so each one counts one more than the one before.
+    pub(crate) fn record_failure(&self, fault: Fault) -> bool {
         let points = match fault {
             Fault::Failed => FAILED_SCORE,
             Fault::Refused => REFUSED_SCORE,
@@ -120,65 +124,71 @@
         self.score.fetch_add(points, Ordering::Relaxed) + points >= EJECT_SCORE
     }
 
-    /// Takes a whole answer.
-    pub(crate) fn worked(&self) {
-        if self.good.fetch_add(1, Ordering::Relaxed) + 1 >= FORGIVEN {
+    /// Records a complete answer.
+    pub(crate) fn record_success(&self) {
+        if self.successes.fetch_add(1, Ordering::Relaxed) + 1 >= STREAK_RESET_ANSWERS {
             self.streak.store(0, Ordering::Relaxed);
         }
         self.silent.store(0, Ordering::Relaxed);
-        let less = |score: u32| (score > 0).then_some(score.saturating_sub(OK_SCORE));
-        let _ = self.score.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less);
+        let reduce = |score: u32| (score > 0).then_some(score.saturating_sub(SUCCESS_SCORE));
+        let _ = self.score.fetch_update(Ordering::Relaxed, Ordering::Relaxed, reduce);
     }
 
-    /// Ejects it, or keeps an ejected one out for longer; returns whether it was in.
-    pub(crate) fn eject(&self, now: Us) -> bool {
+    /// Ejects the upstream, or extends its ejection. Returns whether it was not ejected before.
+    pub(crate) fn eject(&self, now: Micros) -> bool {
         self.score.store(0, Ordering::Relaxed);
-        self.good.store(0, Ordering::Relaxed);
-        let was = self.until.swap(now + self.pause(), Ordering::Relaxed);
+        self.successes.store(0, Ordering::Relaxed);
+        let before = self.ejected_until.swap(now + self.eject_time(), Ordering::Relaxed);
         self.streak.fetch_add(1, Ordering::Relaxed);
-        was == 0
+        before == 0
     }
 
-    /// Lets it back in; returns whether it was out.
+    /// Ends the ejection. Returns whether the upstream was ejected.
     pub(crate) fn restore(&self) -> bool {
         self.score.store(0, Ordering::Relaxed);
         self.silent.store(0, Ordering::Relaxed);
-        self.until.swap(0, Ordering::Relaxed) != 0
+        self.ejected_until.swap(0, Ordering::Relaxed) != 0
     }
 
-    /// Takes the upstream's own report that it is leaving; returns whether that is news.
-    pub(crate) fn leave(&self, sequence: u64, now: Us) -> bool {
-        self.told.store(0, Ordering::Relaxed);
-        self.left_seen.store(sequence, Ordering::Relaxed);
-        self.left.swap(now, Ordering::Relaxed) == 0
+    /// Records the upstream's own report that it is leaving. Returns whether this was not known
+    /// before.
+    pub(crate) fn mark_leaving(&self, sequence: u64, now: Micros) -> bool {
+        self.digest_leaving.store(0, Ordering::Relaxed);
+        self.leaving_digest.store(sequence, Ordering::Relaxed);
+        self.leaving_since.swap(now, Ordering::Relaxed) == 0
     }
 
-    /// Takes what a digest says. The upstream's own report is newer than what a digest's sources know
-    /// for a few seconds, so a digest that calls it live counts only if it was made after, which
-    /// is sure once digests have called it leaving in between, or once the hold is over; returns
-    /// what changed.
-    pub(crate) fn told(&self, leaving: bool, sequence: u64, now: Us) -> Option<Told> {
-        let left = self.left.load(Ordering::Relaxed);
+    /// Applies the standing that a digest reports, and returns what changed. For a few seconds the
+    /// upstream's own report is newer than the sources of a digest. So a digest that reports it as
+    /// live only counts if it was certainly made later: after digests that reported it as leaving,
+    /// or once [`LEAVING_HOLD_US`] has passed.
+    pub(crate) fn apply_digest(
+        &self,
+        leaving: bool,
+        sequence: u64,
+        now: Micros,
+    ) -> Option<DigestChange> {
+        let left = self.leaving_since.load(Ordering::Relaxed);
         if leaving {
-            let news = left == 0 && self.leave(sequence, now);
-            self.told.store(1, Ordering::Relaxed);
-            return news.then_some(Told::Left);
+            let changed = left == 0 && self.mark_leaving(sequence, now);
+            self.digest_leaving.store(1, Ordering::Relaxed);
+            return changed.then_some(DigestChange::Leaving);
         }
         if left == 0 {
             return None;
         }
-        let newer = sequence > self.left_seen.load(Ordering::Relaxed);
-        let known = self.told.load(Ordering::Relaxed) != 0;
-        if !newer || (!known && now < left + LEAVING_HOLD) {
+        let newer = sequence > self.leaving_digest.load(Ordering::Relaxed);
+        let known = self.digest_leaving.load(Ordering::Relaxed) != 0;
+        if !newer || (!known && now < left + LEAVING_HOLD_US) {
             return None;
         }
-        self.told.store(0, Ordering::Relaxed);
-        self.left.store(0, Ordering::Relaxed);
-        Some(Told::Back)
+        self.digest_leaving.store(0, Ordering::Relaxed);
+        self.leaving_since.store(0, Ordering::Relaxed);
+        Some(DigestChange::Returned)
     }
 
-    fn pause(&self) -> Us {
+    fn eject_time(&self) -> Micros {
         let doublings = self.streak.load(Ordering::Relaxed).min(10);
-        (EJECT_FIRST << doublings).min(EJECT_LONGEST)
+        (EJECT_BASE_US << doublings).min(MAX_EJECT_US)
     }
 }
--- a/crates/routing/src/estimate.rs
+++ b/crates/routing/src/estimate.rs
@@ -1,17 +1,17 @@
-//! Service times: means with their spread, and quantiles, in atomics.
+//! Estimates of service times in atomics: means, mean deviations and quantiles.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
-use crate::clock::{Us, freshness};
+use crate::clock::{Micros, decay};
 
-/// The weight of a new sample once many are in.
-const WEIGHT: f64 = 1.0 / 12.0;
+/// The weight of a new sample once there are many.
+const MIN_WEIGHT: f64 = 1.0 / 12.0;
 
-/// A number of microseconds in an atomic.
+/// A floating-point number in an atomic.
 #[derive(Debug, Default)]
-pub(crate) struct Float(AtomicU64);
+pub(crate) struct AtomicF64(AtomicU64);
 
-impl Float {
+impl AtomicF64 {
     pub(crate) fn get(&self) -> f64 {
         f64::from_bits(self.0.load(Ordering::Relaxed))
     }
@@ -26,45 +26,46 @@
     }
 }
 
-/// An exponentially weighted mean and mean deviation. What was expected beforehand counts as the
-/// first sample, and comes back as the samples age: an estimate that grew too high would else
-/// refuse the very work that could correct it.
+/// An exponentially weighted mean and mean deviation. The prior expectation counts as the first
+/// sample, and the estimate returns to it as the samples age. Otherwise an estimate that grew too
+/// high would refuse the very calls that could correct it.
 #[derive(Debug, Default)]
-pub(crate) struct Mean {
-    mean: Float,
-    spread: Float,
+pub(crate) struct MovingMean {
+    mean: AtomicF64,
+    deviation: AtomicF64,
     count: AtomicU32,
-    last: AtomicU64,
+    last_sample: AtomicU64,
 }
 
-impl Mean {
-    /// Takes a sample.
-    pub(crate) fn record(&self, sample: f64, prior: f64, now: Us) {
+impl MovingMean {
+    /// Adds a sample.
+    pub(crate) fn record(&self, sample: f64, prior: f64, now: Micros) {
         let count = self.count.fetch_add(1, Ordering::Relaxed);
         if count == 0 {
             self.mean.set(prior);
-            self.spread.set(prior / 2.0);
+            self.deviation.set(prior / 2.0);
         }
-        let weight = (1.0 / f64::from(count.saturating_add(2))).max(WEIGHT);
+        let weight = (1.0 / f64::from(count.saturating_add(2))).max(MIN_WEIGHT);
         let off = (sample - self.mean.get()).abs();
         self.mean.update(|it| it + weight * (sample - it));
-        self.spread.update(|it| it + weight * (off - it));
-        self.last.store(now, Ordering::Relaxed);
+        self.deviation.update(|it| it + weight * (off - it));
+        self.last_sample.store(now, Ordering::Relaxed);
     }
 
-    /// Returns the mean, drawn towards `prior` as it ages; half of the way at age `half`.
-    pub(crate) fn get(&self, prior: f64, half: Us, now: Us) -> f64 {
-        self.aged(self.mean.get(), prior, half, now)
+    /// Returns the mean, which approaches `prior` as it ages, by half of the distance at
+    /// `half_age`.
+    pub(crate) fn get(&self, prior: f64, half_age: Micros, now: Micros) -> f64 {
+        self.aged(self.mean.get(), prior, half_age, now)
     }
 
-    /// Returns the mean as of the last sample; 0 before the first.
+    /// Returns the mean at the last sample; 0 before the first.
     pub(crate) fn latest(&self) -> f64 {
         if self.count() == 0 { 0.0 } else { self.mean.get() }
     }
 
-    /// Returns the mean deviation, drawn towards half of `prior` as it ages.
-    pub(crate) fn spread(&self, prior: f64, half: Us, now: Us) -> f64 {
-        self.aged(self.spread.get(), prior / 2.0, half, now)
+    /// Returns the mean deviation, which approaches half of `prior` as it ages.
+    pub(crate) fn deviation(&self, prior: f64, half_age: Micros, now: Micros) -> f64 {
+        self.aged(self.deviation.get(), prior / 2.0, half_age, now)
     }
 
     /// Returns the number of samples since the last reset.
@@ -72,49 +73,49 @@
         self.count.load(Ordering::Relaxed)
     }
 
-    /// Forgets everything.
+    /// Discards all samples.
     pub(crate) fn reset(&self) {
         self.count.store(0, Ordering::Relaxed);
     }
 
-    fn aged(&self, value: f64, prior: f64, half: Us, now: Us) -> f64 {
+    fn aged(&self, value: f64, prior: f64, half_age: Micros, now: Micros) -> f64 {
         if self.count() == 0 {
             return prior;
         }
-        let age = now.saturating_sub(self.last.load(Ordering::Relaxed));
-        prior + (value - prior) * freshness(age, half)
+        let age = now.saturating_sub(self.last_sample.load(Ordering::Relaxed));
+        prior + (value - prior) * decay(age, half_age)
     }
 }
 
-/// The number of a sketch's buckets; they cover 100 us to 100 s.
+/// The number of buckets, which cover 100 us to 100 s.
 const BUCKETS: usize = 100;
 /// The lower edge of the first bucket.
-const FIRST: f64 = 100.0;
-/// The ratio of neighbouring edges: a quantile is off by at most this.
-const RATIO: f64 = 1.15;
-/// The number of samples at which all are halved, so that old ones fade.
+const FIRST_EDGE_US: f64 = 100.0;
+/// The ratio of adjacent edges. A quantile is off by this factor at most.
+const BUCKET_RATIO: f64 = 1.15;
+/// The number of samples at which all counts are halved, so that old samples lose weight.
 const WINDOW: u32 = 1_024;
-/// The least number of samples from which quantiles are read.
-const ENOUGH: u32 = 20;
+/// The number of samples from which quantiles are returned.
+const MIN_SAMPLES: u32 = 20;
 
-/// A histogram with buckets of equal ratio.
+/// A histogram whose bucket edges have a constant ratio.
 #[derive(Debug)]
-pub(crate) struct Sketch {
+pub(crate) struct Histogram {
     buckets: [AtomicU32; BUCKETS],
     count: AtomicU32,
 }
 
-impl Default for Sketch {
+impl Default for Histogram {
     fn default() -> Self {
         Self { buckets: [const { AtomicU32::new(0) }; BUCKETS], count: AtomicU32::new(0) }
     }
 }
 
-impl Sketch {
-    /// Takes a sample; returns the number of samples that count.
-    pub(crate) fn record(&self, us: Us) -> u32 {
-        let place = ((us as f64 / FIRST).max(1.0).ln() / RATIO.ln()) as usize;
-        self.buckets[place.min(BUCKETS - 1)].fetch_add(1, Ordering::Relaxed);
+impl Histogram {
+    /// Adds a sample. Returns the number of samples that count.
+    pub(crate) fn record(&self, us: Micros) -> u32 {
+        let index = ((us as f64 / FIRST_EDGE_US).max(1.0).ln() / BUCKET_RATIO.ln()) as usize;
+        self.buckets[index.min(BUCKETS - 1)].fetch_add(1, Ordering::Relaxed);
         let count = self.count.fetch_add(1, Ordering::Relaxed) + 1;
         if count >= WINDOW {
             self.halve();
@@ -122,21 +123,21 @@
         count
     }
 
-    /// Returns the upper edge of the bucket with that quantile, or `None` where too little is
-    /// known.
-    pub(crate) fn quantile(&self, share: f64) -> Option<Us> {
+    /// Returns the upper edge of the bucket that contains the quantile, or `None` if there are too
+    /// few samples.
+    pub(crate) fn quantile(&self, share: f64) -> Option<Micros> {
         let counts = self.buckets.each_ref().map(|it| it.load(Ordering::Relaxed));
         let total: u32 = counts.iter().sum();
-        if total < ENOUGH {
+        if total < MIN_SAMPLES {
             return None;
         }
         let rank = (f64::from(total) * share).ceil() as u32;
         let mut below = 0;
-        let place = counts.iter().position(|it| {
+        let index = counts.iter().position(|it| {
             below += it;
             below >= rank
         });
-        Some((FIRST * RATIO.powi(place? as i32 + 1)) as Us)
+        Some((FIRST_EDGE_US * BUCKET_RATIO.powi(index? as i32 + 1)) as Micros)
     }
 
     fn halve(&self) {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions: admission, priority, limits, choice of upstream, retries, hedges, ejection.
+//! Decides admission, priority, limits, the choice of upstream, retries, hedges and ejection.
 //!
-//! No I/O happens here; time and randomness are passed in. [`Router`] is shared by all threads of
-//! an entry.
+//! There is no I/O here; time and randomness are passed in. All threads of an entry share one
+//! [`Router`].
 
 mod admission;
 mod affinity;
@@ -10,14 +10,14 @@
 mod clock;
 mod decisions;
 mod eject;
-mod ending;
 mod estimate;
+mod feedback;
 mod hedge;
 mod limits;
 mod policy;
 mod pool;
-mod pressure;
 mod queue;
+mod refusals;
 mod router;
 mod split;
 mod table;
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits per customer, held across all entries by shares that control hands out.
+//! Limits per customer, enforced across all entries by shares that control assigns.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -6,139 +6,139 @@
 use arc_swap::ArcSwap;
 use types::{CustomerLimits, Rate, RefusalReason, Tokens};
 
-use crate::clock::Us;
-use crate::pressure::Pressure;
+use crate::clock::Micros;
+use crate::refusals::Refusals;
 
-/// How much of a rate may be used at once, in microseconds of it.
-const BURST: f64 = 1_000_000.0;
+/// The burst that a rate allows, in microseconds of that rate.
+const BURST_US: f64 = 1_000_000.0;
 
-/// A limit in events a second, as the time at which what was used is paid off (the generic cell
-/// rate algorithm). One atomic holds it; a fresh bucket is 0, which is long paid off.
+/// A rate limit in events a second, implemented with the generic cell rate algorithm. It is stored
+/// as the time at which the use so far is paid off; 0 in a new bucket, which is long past.
 #[derive(Debug, Default)]
 struct Bucket {
-    paid: AtomicU64,
+    paid_off_at: AtomicU64,
 }
 
 impl Bucket {
-    /// Takes one event, or says how long until there is room.
-    fn take(&self, rate: f64, now: Us) -> Result<(), Us> {
+    /// Takes one event, or returns the time until one is allowed.
+    fn take(&self, rate: f64, now: Micros) -> Result<(), Micros> {
         if rate <= 0.0 {
-            return Err(BURST as Us);
+            return Err(BURST_US as Micros);
         }
         let step = 1_000_000.0 / rate;
-        let room = now + (BURST.max(step)) as Us;
-        let next = |paid: Us| {
-            let paid = paid.max(now) + step as Us;
-            (paid <= room).then_some(paid)
+        let limit = now + (BURST_US.max(step)) as Micros;
+        let next = |paid: Micros| {
+            let paid = paid.max(now) + step as Micros;
+            (paid <= limit).then_some(paid)
         };
-        let taken = self.paid.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next);
-        taken.map(drop).map_err(|paid| (paid + step as Us).saturating_sub(room))
+        let taken = self.paid_off_at.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next);
+        taken.map(drop).map_err(|paid| (paid + step as Micros).saturating_sub(limit))
     }
 
-    /// Says how long until the debt is within the burst.
-    fn check(&self, now: Us) -> Result<(), Us> {
-        let paid = self.paid.load(Ordering::Relaxed);
-        let room = now + BURST as Us;
-        if paid > room { Err(paid - room) } else { Ok(()) }
+    /// Returns the time until the debt is within the burst, if it is not.
+    fn check(&self, now: Micros) -> Result<(), Micros> {
+        let paid = self.paid_off_at.load(Ordering::Relaxed);
+        let limit = now + BURST_US as Micros;
+        if paid > limit { Err(paid - limit) } else { Ok(()) }
     }
 
     /// Adds to the debt.
-    fn charge(&self, rate: f64, amount: f64, now: Us) {
+    fn charge(&self, rate: f64, amount: f64, now: Micros) {
         if rate <= 0.0 {
             return;
         }
-        let step = (amount * 1_000_000.0 / rate) as Us;
-        let next = |paid: Us| Some(paid.max(now).saturating_add(step));
-        let _ = self.paid.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next);
+        let step = (amount * 1_000_000.0 / rate) as Micros;
+        let next = |paid: Micros| Some(paid.max(now).saturating_add(step));
+        let _ = self.paid_off_at.fetch_update(Ordering::Relaxed, Ordering::Relaxed, next);
     }
 }
 
-/// Why a customer's request is refused, and how long until there is room.
+/// The reason why a customer's request is refused, and the time until one is allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Over {
+pub(crate) struct LimitExceeded {
     pub(crate) reason: RefusalReason,
-    pub(crate) room_in: Us,
+    pub(crate) retry_in: Micros,
 }
 
-/// One customer at this entry.
+/// A customer's use of its limits at this entry.
 #[derive(Debug, Default)]
 pub(crate) struct Account {
-    whole: ArcSwap<CustomerLimits>,
+    limits: ArcSwap<CustomerLimits>,
     share: ArcSwap<CustomerLimits>,
     running: AtomicU32,
     rate: Bucket,
     tokens: Bucket,
-    pub(crate) pressure: Pressure,
+    pub(crate) refusals: Refusals,
 }
 
 impl Account {
     /// Sets the limits across all entries.
-    pub(crate) fn limit(&self, whole: &CustomerLimits) {
-        self.whole.store(Arc::new(whole.clone()));
+    pub(crate) fn set_limits(&self, limits: &CustomerLimits) {
+        self.limits.store(Arc::new(limits.clone()));
     }
 
-    /// Sets this entry's shares.
-    pub(crate) fn share(&self, share: &CustomerLimits) {
+    /// Sets this entry's shares of the limits.
+    pub(crate) fn set_share(&self, share: &CustomerLimits) {
         self.share.store(Arc::new(share.clone()));
     }
 
-    /// Takes a place within the limits.
-    pub(crate) fn enter(&self, entries: u32, now: Us) -> Result<(), Over> {
-        let whole = self.whole.load();
+    /// Takes one request from the limits.
+    pub(crate) fn admit(&self, entries: u32, now: Micros) -> Result<(), LimitExceeded> {
+        let limits = self.limits.load();
         let share = self.share.load();
-        if let Some(rate) = part(whole.tokens, share.tokens, entries)
+        if let Some(rate) = rate_share(limits.tokens, share.tokens, entries)
             && rate > 0.0
         {
-            let over = |room_in| Over { reason: RefusalReason::CustomerTokens, room_in };
-            self.tokens.check(now).map_err(over)?;
+            let exceeded =
+                |retry_in| LimitExceeded { reason: RefusalReason::CustomerTokens, retry_in };
+            self.tokens.check(now).map_err(exceeded)?;
         }
-        self.start(places(whole.concurrency, share.concurrency, entries))?;
-        let Some(rate) = part(whole.rate, share.rate, entries) else {
+        self.acquire(concurrency_share(limits.concurrency, share.concurrency, entries))?;
+        let Some(rate) = rate_share(limits.rate, share.rate, entries) else {
             return Ok(());
         };
-        self.rate.take(rate, now).map_err(|room_in| {
-            self.leave();
-            Over { reason: RefusalReason::CustomerRate, room_in }
+        self.rate.take(rate, now).map_err(|retry_in| {
+            self.release();
+            LimitExceeded { reason: RefusalReason::CustomerRate, retry_in }
         })
     }
 
-    /// Gives a place back.
-    pub(crate) fn leave(&self) {
+    /// Ends a request, so that the next one may run.
+    pub(crate) fn release(&self) {
         self.running.fetch_sub(1, Ordering::Relaxed);
     }
 
     /// Charges generated tokens. How many a request generates is known only afterwards, so the
-    /// limit is a debt: while it is over a second's worth, the customer's requests are refused.
-    pub(crate) fn charge(&self, tokens: Tokens, entries: u32, now: Us) {
-        let (whole, share) = (self.whole.load(), self.share.load());
-        if let Some(rate) = part(whole.tokens, share.tokens, entries) {
+    /// limit is a debt: while it exceeds one second's worth, the customer's requests are refused.
+    pub(crate) fn charge(&self, tokens: Tokens, entries: u32, now: Micros) {
+        let (limits, share) = (self.limits.load(), self.share.load());
+        if let Some(rate) = rate_share(limits.tokens, share.tokens, entries) {
             self.tokens.charge(rate, tokens.0 as f64, now);
         }
     }
 
-    fn start(&self, most: Option<u32>) -> Result<(), Over> {
-        let step = |running: u32| {
-            most.is_none_or(|most| running < most).then_some(running.saturating_add(1))
-        };
+    fn acquire(&self, max: Option<u32>) -> Result<(), LimitExceeded> {
+        let step =
+            |running: u32| max.is_none_or(|max| running < max).then_some(running.saturating_add(1));
         let started = self.running.fetch_update(Ordering::Relaxed, Ordering::Relaxed, step);
-        let over = Over { reason: RefusalReason::CustomerConcurrency, room_in: 0 };
-        started.map(drop).map_err(|_| over)
+        let exceeded = LimitExceeded { reason: RefusalReason::CustomerConcurrency, retry_in: 0 };
+        started.map(drop).map_err(|_| exceeded)
     }
 }
 
-/// Returns this entry's part of a rate. Before control gave a share it is an even part of the
-/// whole: the entries' parts then never add up to more than the limit, whoever is idle, once their
-/// number is known, and an entry that knows nothing counts on at least one other. A share over the
-/// whole limit is an old one and is cut.
-fn part(whole: Option<Rate>, share: Option<Rate>, entries: u32) -> Option<f64> {
-    let whole = whole?.0;
-    Some(share.map_or(whole / f64::from(entries), |it| it.0.min(whole)))
+/// Returns this entry's share of a rate. Before control has assigned one, it is an even share: once
+/// the number of entries is known, their shares never add up to more than the limit, whichever
+/// entries are idle. An entry that knows nothing assumes at least one other. A share above the
+/// limit is outdated and is reduced to the limit.
+fn rate_share(limit: Option<Rate>, share: Option<Rate>, entries: u32) -> Option<f64> {
+    let limit = limit?.0;
+    Some(share.map_or(limit / f64::from(entries), |it| it.0.min(limit)))
 }
 
-/// Returns this entry's part of the concurrent requests. It is at least one before control gave a
-/// share: a limit under the number of entries would else refuse the customer everywhere. The
-/// excess is less than the number of entries and ends with the first share.
-fn places(whole: Option<u32>, share: Option<u32>, entries: u32) -> Option<u32> {
-    let whole = whole?;
-    Some(share.map_or((whole / entries).max(1), |it| it.min(whole)))
+/// Returns this entry's share of the concurrent requests. Before control has assigned one, it is at
+/// least one; otherwise a limit below the number of entries would refuse the customer everywhere.
+/// The excess is less than the number of entries and ends with the first assigned share.
+fn concurrency_share(limit: Option<u32>, share: Option<u32>, entries: u32) -> Option<u32> {
+    let limit = limit?;
+    Some(share.map_or((limit / entries).max(1), |it| it.min(limit)))
 }
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -1,4 +1,4 @@
-//! A pool's queue: by priority, then evenly over customers, then by deadline.
+//! A pool's queue, ordered by priority, then evenly over customers, then by deadline.
 
 use std::collections::BTreeMap;
 
@@ -6,37 +6,37 @@
 use types::{CustomerName, Refusal};
 
 use crate::admission::Slot;
-use crate::clock::Us;
+use crate::clock::Micros;
 
-/// The receiver of a queued call gets its place or its refusal.
+/// The channel on which a queued call gets its slot or its refusal.
 pub(crate) type Reply = oneshot::Sender<Result<Slot, Refusal>>;
 
-/// How many starts lie between two clean-ups of the customers' counts.
-const CLEAN_UP: u32 = 256;
+/// The number of started calls between two clean-ups of the customers' start tags.
+const CLEANUP_INTERVAL: u32 = 256;
 
 /// A queued call.
 #[derive(Debug)]
-pub(crate) struct Waiter {
+pub(crate) struct QueuedCall {
     pub(crate) priority: u8,
     pub(crate) customer: CustomerName,
     /// When the stage must have ended.
-    pub(crate) by: Us,
-    /// The time it takes once started.
-    pub(crate) need: Us,
+    pub(crate) deadline: Micros,
+    /// The expected time of the call once it has started, with its margin.
+    pub(crate) expected: Micros,
     pub(crate) reply: Reply,
 }
 
-/// The queue, and what each customer got of the pool. A customer's next start is numbered one
-/// after its last, or after the pool's current number if it was away (start-time fair queueing);
-/// the lowest number goes first, so a customer with a long row of calls waits behind one with a
-/// short row, and being away saves up nothing.
+/// The queue, and the start tag of each customer's next call (start-time fair queueing). The tag is
+/// one more than that of the customer's last call, but at least the virtual time. The lowest tag
+/// goes first. So a customer with many calls waits behind one with few, and a customer that is idle
+/// accumulates no credit.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    waiters: Vec<Waiter>,
-    starts: BTreeMap<CustomerName, u64>,
-    current: u64,
-    since: u32,
-    /// Whether customers share evenly.
+    calls: Vec<QueuedCall>,
+    next_starts: BTreeMap<CustomerName, u64>,
+    virtual_time: u64,
+    since_cleanup: u32,
+    /// Whether customers share the pool evenly.
     fair: bool,
 }
 
@@ -46,105 +46,107 @@
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.waiters.len()
+        self.calls.len()
     }
 
-    pub(crate) fn push(&mut self, waiter: Waiter) {
-        self.waiters.push(waiter);
+    pub(crate) fn push(&mut self, call: QueuedCall) {
+        self.calls.push(call);
     }
 
-    /// Counts the calls of that priority.
+    /// Returns the number of queued calls of this priority.
     pub(crate) fn count(&self, priority: u8) -> u32 {
-        self.waiters.iter().filter(|it| it.priority == priority).count() as u32
+        self.calls.iter().filter(|it| it.priority == priority).count() as u32
     }
 
-    /// Tells whether a call is queued that goes before a new one of that priority.
-    pub(crate) fn any_before(&self, priority: u8) -> bool {
-        self.waiters.iter().any(|it| it.priority <= priority)
+    /// Returns whether a queued call goes before a new one of this priority.
+    pub(crate) fn has_call_before(&self, priority: u8) -> bool {
+        self.calls.iter().any(|it| it.priority <= priority)
     }
 
-    /// Counts the calls that will start before a new one of that customer.
-    pub(crate) fn ahead(&self, priority: u8, customer: &CustomerName) -> usize {
-        let stronger = self.waiters.iter().filter(|it| it.priority < priority).count();
-        let rows = self.rows(priority);
-        let mine = rows.get(customer).copied().unwrap_or(0);
+    /// Returns how many queued calls start before a new one of this priority and customer.
+    pub(crate) fn calls_ahead(&self, priority: u8, customer: &CustomerName) -> usize {
+        let higher = self.calls.iter().filter(|it| it.priority < priority).count();
+        let counts = self.calls_by_customer(priority);
+        let own = counts.get(customer).copied().unwrap_or(0);
         if !self.fair {
-            return stronger + rows.values().sum::<usize>();
+            return higher + counts.values().sum::<usize>();
         }
-        let others = rows.iter().filter(|(name, _)| **name != customer);
-        stronger + mine + others.map(|(_, row)| (*row).min(mine + 1)).sum::<usize>()
+        let others = counts.iter().filter(|(name, _)| **name != customer);
+        higher + own + others.map(|(_, count)| (*count).min(own + 1)).sum::<usize>()
     }
 
-    /// Returns the priority of the call that is next.
+    /// Returns the priority of the next call.
     pub(crate) fn next_priority(&self) -> Option<u8> {
-        self.waiters.iter().map(|it| it.priority).min()
+        self.calls.iter().map(|it| it.priority).min()
     }
 
-    /// Takes out the call that is next.
-    pub(crate) fn pop(&mut self) -> Option<Waiter> {
-        let key = |it: &Waiter| (it.priority, self.number(&it.customer), it.by);
-        let (place, _) = self.waiters.iter().enumerate().min_by_key(|(_, it)| key(it))?;
-        Some(self.waiters.swap_remove(place))
+    /// Removes the next call.
+    pub(crate) fn pop(&mut self) -> Option<QueuedCall> {
+        let key = |it: &QueuedCall| (it.priority, self.start_tag(&it.customer), it.deadline);
+        let (index, _) = self.calls.iter().enumerate().min_by_key(|(_, it)| key(it))?;
+        Some(self.calls.swap_remove(index))
     }
 
-    /// Takes note that a call of the customer starts.
-    pub(crate) fn started(&mut self, customer: &CustomerName) {
+    /// Records that a call of the customer starts.
+    pub(crate) fn call_started(&mut self, customer: &CustomerName) {
         if !self.fair {
             return;
         }
-        let number = self.number(customer);
-        self.current = self.current.max(number);
-        self.starts.insert(customer.clone(), number + 1);
-        self.since += 1;
-        if self.since >= CLEAN_UP {
-            self.since = 0;
-            let current = self.current;
-            self.starts.retain(|_, number| *number > current);
+        let tag = self.start_tag(customer);
+        self.virtual_time = self.virtual_time.max(tag);
+        self.next_starts.insert(customer.clone(), tag + 1);
+        self.since_cleanup += 1;
+        if self.since_cleanup >= CLEANUP_INTERVAL {
+            self.since_cleanup = 0;
+            let virtual_time = self.virtual_time;
+            self.next_starts.retain(|_, tag| *tag > virtual_time);
         }
     }
 
-    /// Takes out the call with the weakest claim if it is weaker than a new one of that priority
-    /// and customer: of a weaker priority, or of a customer with the longer row.
-    pub(crate) fn displace(&mut self, priority: u8, customer: &CustomerName) -> Option<Waiter> {
-        let place = self.weaker(priority, customer)?;
-        Some(self.waiters.swap_remove(place))
+    /// Removes the call that a new one of this priority and customer displaces: one of a lower
+    /// priority, or of a customer with more queued calls.
+    pub(crate) fn displace(&mut self, priority: u8, customer: &CustomerName) -> Option<QueuedCall> {
+        let index = self.displaceable(priority, customer)?;
+        Some(self.calls.swap_remove(index))
     }
 
-    /// Returns the place of the call that a new one of that priority and customer would displace.
-    pub(crate) fn weaker(&self, priority: u8, customer: &CustomerName) -> Option<usize> {
-        let weakest = self.waiters.iter().map(|it| it.priority).max()?;
-        if weakest < priority {
+    /// Returns the index of the call that a new one of this priority and customer displaces.
+    pub(crate) fn displaceable(&self, priority: u8, customer: &CustomerName) -> Option<usize> {
+        let lowest = self.calls.iter().map(|it| it.priority).max()?;
+        if lowest < priority {
             return None;
         }
-        let rows = self.rows(weakest);
-        let (longest, row) = rows.iter().max_by_key(|(_, row)| **row)?;
-        let mine = rows.get(customer).copied().unwrap_or(0);
-        if weakest == priority && (!self.fair || *row <= mine + 1) {
+        let counts = self.calls_by_customer(lowest);
+        let (longest, count) = counts.iter().max_by_key(|(_, count)| **count)?;
+        let own = counts.get(customer).copied().unwrap_or(0);
+        if lowest == priority && (!self.fair || *count <= own + 1) {
             return None;
         }
-        let ours = |it: &Waiter| it.priority == weakest && (!self.fair || it.customer == **longest);
-        let of_it = self.waiters.iter().enumerate().filter(|(_, it)| ours(it));
-        of_it.max_by_key(|(_, it)| it.by).map(|(place, _)| place)
+        let matches =
+            |it: &QueuedCall| it.priority == lowest && (!self.fair || it.customer == **longest);
+        let candidates = self.calls.iter().enumerate().filter(|(_, it)| matches(it));
+        candidates.max_by_key(|(_, it)| it.deadline).map(|(index, _)| index)
     }
 
-    /// Takes out what cannot end in time even if it started now, or whose caller is gone.
-    pub(crate) fn expire(&mut self, now: Us) -> Vec<Waiter> {
-        let late = |it: &mut Waiter| now + it.need > it.by || it.reply.is_closed();
-        self.waiters.extract_if(.., late).collect()
+    /// Removes calls that cannot end in time even if they started now, and calls whose caller is
+    /// gone.
+    pub(crate) fn expire(&mut self, now: Micros) -> Vec<QueuedCall> {
+        let late = |it: &mut QueuedCall| now + it.expected > it.deadline || it.reply.is_closed();
+        self.calls.extract_if(.., late).collect()
     }
 
-    fn number(&self, customer: &CustomerName) -> u64 {
+    fn start_tag(&self, customer: &CustomerName) -> u64 {
         if !self.fair {
             return 0;
         }
-        self.starts.get(customer).copied().unwrap_or(0).max(self.current)
+        self.next_starts.get(customer).copied().unwrap_or(0).max(self.virtual_time)
     }
 
-    fn rows(&self, priority: u8) -> BTreeMap<&CustomerName, usize> {
-        let mut rows = BTreeMap::new();
-        for waiter in self.waiters.iter().filter(|it| it.priority == priority) {
-            *rows.entry(&waiter.customer).or_insert(0) += 1;
+    fn calls_by_customer(&self, priority: u8) -> BTreeMap<&CustomerName, usize> {
+        let mut counts = BTreeMap::new();
+        for call in self.calls.iter().filter(|it| it.priority == priority) {
+            *counts.entry(&call.customer).or_insert(0) += 1;
         }
-        rows
+        counts
     }
 }
--- a/crates/routing/src/work.rs
+++ b/crates/routing/src/work.rs
@@ -1,112 +1,122 @@
-//! What a pool works on for this entry: calls that run, calls that wait, requests on their way.
+//! The work of this entry in a pool: running calls, queued calls and admitted requests.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
 
 use types::CustomerName;
 
-use crate::clock::Us;
-use crate::pool::{Counts, Shared, sum};
-use crate::queue::{Queue, Waiter};
+use crate::clock::Micros;
+use crate::pool::{Counts, PoolState, sum};
+use crate::queue::{Queue, QueuedCall};
 
-/// The part of a pool that is behind its lock. The lock is held for a few hundred nanoseconds and
+/// The part of a pool that is behind a lock. The lock is held for a few hundred nanoseconds and
 /// never while anything is sent.
 #[derive(Debug)]
-pub(crate) struct Work {
+pub(crate) struct PoolWork {
     pub(crate) queue: Queue,
-    /// Requests under way whose last stage is this pool's, by priority and customer.
-    alive: BTreeMap<(u8, CustomerName), u32>,
+    /// The number of admitted requests whose last stage uses this pool, by priority and customer.
+    admitted: BTreeMap<(u8, CustomerName), u32>,
 }
 
-/// What a look at the queue brought about.
+/// The calls that leave the queue.
 #[derive(Debug, Default)]
-pub(crate) struct Moves {
+pub(crate) struct QueueChanges {
     /// Calls that may start.
-    pub(crate) started: Vec<Waiter>,
-    /// Calls whose time no longer suffices.
-    pub(crate) late: Vec<Waiter>,
+    pub(crate) started: Vec<QueuedCall>,
+    /// Calls that no longer have enough time.
+    pub(crate) expired: Vec<QueuedCall>,
 }
 
-impl Work {
+impl PoolWork {
     pub(crate) fn new(fair: bool) -> Self {
-        Self { queue: Queue::new(fair), alive: BTreeMap::new() }
+        Self { queue: Queue::new(fair), admitted: BTreeMap::new() }
     }
 
-    /// Starts what there is room for and takes out what is late.
-    pub(crate) fn advance(&mut self, pool: &Shared, now: Us) -> Moves {
-        let mut moves = Moves::default();
+    /// Starts the calls that have a slot and removes those that no longer have enough time.
+    pub(crate) fn advance(&mut self, pool: &PoolState, now: Micros) -> QueueChanges {
+        let mut changes = QueueChanges::default();
         if self.queue.len() == 0 {
-            return moves;
+            return changes;
         }
-        moves.late = self.queue.expire(now);
+        changes.expired = self.queue.expire(now);
         while let Some(priority) = self.queue.next_priority()
-            && room(pool, priority)
-            && let Some(waiter) = self.queue.pop()
+            && has_slot(pool, priority)
+            && let Some(call) = self.queue.pop()
         {
-            self.start(pool, waiter.priority, &waiter.customer);
-            moves.started.push(waiter);
+            self.start_call(pool, call.priority, &call.customer);
+            changes.started.push(call);
         }
         self.publish(pool);
-        moves
+        changes
     }
 
     /// Counts a call as running.
-    pub(crate) fn start(&mut self, pool: &Shared, priority: u8, customer: &CustomerName) {
-        add(&pool.running, priority);
-        self.queue.started(customer);
+    pub(crate) fn start_call(&mut self, pool: &PoolState, priority: u8, customer: &CustomerName) {
+        increment(&pool.running, priority);
+        self.queue.call_started(customer);
     }
 
     /// Counts a call as ended.
-    pub(crate) fn end(&mut self, pool: &Shared, priority: u8) {
+    pub(crate) fn end_call(&mut self, pool: &PoolState, priority: u8) {
         pool.running[usize::from(priority)].fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Copies the queue's counts for readers without the lock.
-    pub(crate) fn publish(&self, pool: &Shared) {
+    /// Copies the queue's counts for readers that do not hold the lock.
+    pub(crate) fn publish(&self, pool: &PoolState) {
         for (priority, count) in pool.queued.iter().enumerate() {
             count.store(self.queue.count(priority as u8), Ordering::Relaxed);
         }
     }
 
-    /// Counts a request as under way.
-    pub(crate) fn born(&mut self, pool: &Shared, priority: u8, customer: &CustomerName) {
-        add(&pool.alive, priority);
-        *self.alive.entry((priority, customer.clone())).or_insert(0) += 1;
+    /// Counts a request as admitted.
+    pub(crate) fn request_started(
+        &mut self,
+        pool: &PoolState,
+        priority: u8,
+        customer: &CustomerName,
+    ) {
+        increment(&pool.admitted, priority);
+        *self.admitted.entry((priority, customer.clone())).or_insert(0) += 1;
     }
 
-    /// Counts a request as over.
-    pub(crate) fn died(&mut self, pool: &Shared, priority: u8, customer: &CustomerName) {
-        pool.alive[usize::from(priority)].fetch_sub(1, Ordering::Relaxed);
+    /// Counts a request as ended.
+    pub(crate) fn request_ended(
+        &mut self,
+        pool: &PoolState,
+        priority: u8,
+        customer: &CustomerName,
+    ) {
+        pool.admitted[usize::from(priority)].fetch_sub(1, Ordering::Relaxed);
         let key = (priority, customer.clone());
-        if let Some(count) = self.alive.get_mut(&key) {
+        if let Some(count) = self.admitted.get_mut(&key) {
             *count -= 1;
             if *count == 0 {
-                self.alive.remove(&key);
+                self.admitted.remove(&key);
             }
         }
     }
 
-    /// Returns the share of that priority's requests under way that would go before a new one of
-    /// the customer if customers take turns, 0 to 1.
-    pub(crate) fn before(&self, priority: u8, customer: &CustomerName) -> f64 {
-        let rows = self.alive.iter().filter(|((it, _), _)| *it == priority);
-        let rows = rows.map(|((_, name), count)| (name, *count));
-        let mine = rows.clone().find(|(name, _)| *name == customer).map_or(0, |(_, it)| it);
+    /// Returns the share, 0 to 1, of the admitted requests of this priority that would go before a
+    /// new one of the customer if customers take turns.
+    pub(crate) fn share_ahead(&self, priority: u8, customer: &CustomerName) -> f64 {
+        let counts = self.admitted.iter().filter(|((it, _), _)| *it == priority);
+        let counts = counts.map(|((_, name), count)| (name, *count));
+        let own = counts.clone().find(|(name, _)| *name == customer).map_or(0, |(_, it)| it);
         let mut all = 0;
-        let mut first = 0;
-        for (name, row) in rows {
-            all += row;
-            first += if name == customer { row } else { row.min(mine + 1) };
+        let mut ahead = 0;
+        for (name, count) in counts {
+            all += count;
+            ahead += if name == customer { count } else { count.min(own + 1) };
         }
-        f64::from(first) / f64::from(all.max(1))
+        f64::from(ahead) / f64::from(all.max(1))
     }
 }
 
-/// Tells whether a call of that priority may start.
-pub(crate) fn room(pool: &Shared, priority: u8) -> bool {
-    sum(&pool.running) < pool.places(priority)
+/// Returns whether a call of this priority may start.
+pub(crate) fn has_slot(pool: &PoolState, priority: u8) -> bool {
+    sum(&pool.running) < pool.slots(priority)
 }
 
-fn add(counts: &Counts, priority: u8) {
+fn increment(counts: &Counts, priority: u8) {
     counts[usize::from(priority)].fetch_add(1, Ordering::Relaxed);
 }
