--- a/crates/routing/examples/choice.rs
+++ b/crates/routing/examples/choice.rs
@@ -1,4 +1,4 @@
-//! Measures what decisions cost: nanoseconds for a choice by the size of the pool, and for a
+//! Measures the cost of decisions: the nanoseconds of a choice by the size of the pool, and of a
 //! refusal.
 //!
 //! `cargo run --release -p mothplank-routing --example choice -- [PICKS]`
@@ -19,7 +19,7 @@
 const SIZES: [usize; 3] = [20, 200, 600];
 const RUNS: usize = 5;
 
-/// An entry among eight, before a generating pool of that size under load.
+/// Creates one of eight entries, with a generating pool of this size under load.
 fn bench(size: usize, rules: Rules) -> Bench {
     let find = pool(PoolKind::Retrieve, "find", 4, 16);
     let service = service(find, pool(PoolKind::Generate, "write", size, 8));
@@ -31,18 +31,18 @@
     bench
 }
 
-/// Picks that often, eight calls in flight at a time; returns nanoseconds for one.
+/// Picks an upstream `count` times with eight calls in flight. Returns the nanoseconds of one pick.
 fn picks(router: &Router, begin: Instant, count: u64, prefixes: u64) -> f64 {
     let pool: PoolName = name("write");
     let mut rng = SmallRng::seed_from_u64(count);
-    let mut held = [const { None }; 8];
+    let mut in_flight = [const { None }; 8];
     let start = Instant::now();
     for at in 0..count {
         let prefix =
             (prefixes > 0).then(|| (at % prefixes.max(1)).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let ask = PickAsk { pool: &pool, prefix, exclude: &[], left: ms(5_000) };
         let now = begin + Duration::from_micros(at / 4);
-        held[at as usize % 8] = black_box(router.pick(&ask, now, &mut rng)).ok();
+        in_flight[at as usize % 8] = black_box(router.pick(&ask, now, &mut rng)).ok();
     }
     start.elapsed().as_nanos() as f64 / count as f64
 }
@@ -77,9 +77,9 @@
 
     let bench = bench(20, Rules::default());
     let ask = bench.ask("desk", 3, ms(2_000));
-    let mut under_way = Vec::new();
+    let mut admitted = Vec::new();
     while let Ok(admission) = bench.router.admit(&bench.ask("desk", 3, ms(7_000)), bench.now) {
-        under_way.push(admission);
+        admitted.push(admission);
     }
     let start = Instant::now();
     for at in 0..count {
@@ -87,5 +87,5 @@
         drop(black_box(bench.router.admit(&ask, now)));
     }
     let refusal = start.elapsed().as_nanos() as f64 / count as f64;
-    println!("refusal of a resend with {} under way: {refusal:.0} ns", under_way.len());
+    println!("refusal of a resend with {} under way: {refusal:.0} ns", admitted.len());
 }
--- a/crates/routing/examples/weigh.rs
+++ b/crates/routing/examples/weigh.rs
@@ -1,4 +1,4 @@
-//! Weighs single rules: six entries before simple replicas, in virtual time.
+//! Measures the effect of single rules, with six entries and simulated replicas in virtual time.
 //!
 //! `cargo run --release -p mothplank-routing --example weigh -- [SEEDS] [CASE] [RULE]`
 #![allow(clippy::print_stdout, reason = "it prints a table")]
@@ -21,17 +21,17 @@
 use types::{Digest, PoolKind, Priority, Refusal, Tokens};
 
 const ENTRIES: usize = 6;
-/// Name, replicas, calls at once and mean seconds of each stage's pool.
+/// The name, replicas, concurrent calls per replica and mean seconds of each stage's pool.
 const POOLS: [(&str, usize, usize, f64); 2] = [("find", 4, 4, 0.18), ("write", 12, 8, 1.5)];
-/// Name, priority and part of the load of each customer.
+/// The name, priority and share of the load of each customer.
 const CUSTOMERS: [(&str, u8, f64); 3] = [("yard", 0, 0.5), ("desk", 3, 0.4), ("studio", 3, 0.1)];
 const DEADLINE: Duration = Duration::from_secs(5);
 const FAULT: std::ops::Range<f64> = 10.0..20.0;
-const COUNTED: std::ops::Range<f64> = 5.0..26.0;
+const MEASURED: std::ops::Range<f64> = 5.0..26.0;
 
-/// A case: load before and in the fault's time, how many times slower the first replica and all
-/// are, how many fail each call and how, the share of calls that fail, milliseconds between digests,
-/// the entries that priority 0 comes to.
+/// A case: its name; the load before and during the fault; how many times slower the first replica
+/// and all replicas are; how many replicas fail each call, and how; the share of calls that fail;
+/// the milliseconds between digests; the number of entries that get requests of priority 0.
 type Case = (&'static str, [f64; 2], [f64; 2], (usize, CallEnd), f64, u64, usize);
 const CASES: [Case; 14] = [
     ("steady 70%", [0.7, 0.7], [1.0, 1.0], (0, CallEnd::Failed), 0.0, 100, 6),
@@ -50,12 +50,14 @@
     ("90%, digest cut", [0.9, 0.9], [1.0, 1.0], (0, CallEnd::Failed), 0.0, u64::MAX, 6),
 ];
 
-/// First tries and attained ones by customer; good answers, busy and useful time, calls, latencies;
-/// first tries and attained ones from two seconds after the fault's time on.
+/// First attempts and those that attained the deadline, by customer; complete answers; busy and
+/// useful time; calls; latencies; first attempts and those that attained the deadline, from two
+/// seconds after the fault on.
 #[derive(Default)]
 struct Tally([f64; 3], [f64; 3], f64, f64, f64, f64, Vec<u128>, [f64; 2]);
 
-/// A replica's free slots, cached prefixes, slowness, the end of each call, and a kill's coming.
+/// A replica's free slots, cached prefixes, slowdown, outcome of each call if it fails, and the
+/// signal that it was killed.
 type Replica = (Semaphore, RefCell<VecDeque<u64>>, Cell<f64>, Cell<Option<CallEnd>>, Notify);
 
 struct World {
@@ -67,14 +69,14 @@
     tally: RefCell<Tally>,
 }
 
-/// A call under way; tells the router how it ended, however that comes about.
+/// A call in flight. When dropped, it tells the router how the call ended.
 struct Call<'a>(&'a World, &'a Router, Pick, CallEnd, Option<Instant>);
 
 impl Drop for Call<'_> {
     fn drop(&mut self) {
         let Call(world, router, pick, end, started) = self;
         router.ended(pick, *end, now());
-        let busy = started.map_or(0.0, |it| (now() - it).as_secs_f64()) * world.counted();
+        let busy = started.map_or(0.0, |it| (now() - it).as_secs_f64()) * world.measured();
         let mut tally = world.tally.borrow_mut();
         tally.3 += busy;
         tally.4 += if matches!(end, CallEnd::Ok { .. }) { busy } else { 0.0 };
@@ -93,9 +95,9 @@
         let service = service(find, write);
         routers.iter().for_each(|it| it.install(&service, now()));
         let replicas = service.pools.values().flat_map(|it| &it.upstreams).map(|(name, it)| {
-            let (cache, slow, end) = (RefCell::default(), Cell::new(1.0), Cell::new(None));
+            let (cache, slowdown, end) = (RefCell::default(), Cell::new(1.0), Cell::new(None));
             let slots = Semaphore::new(it.capacity as usize);
-            (name.to_string(), (slots, cache, slow, end, Notify::new()))
+            (name.to_string(), (slots, cache, slowdown, end, Notify::new()))
         });
         let (replicas, rng) = (replicas.collect(), RefCell::new(SmallRng::seed_from_u64(seed)));
         Rc::new(Self { case, begin: now(), rng, routers, replicas, tally: RefCell::new(tally) })
@@ -105,31 +107,32 @@
         (now() - self.begin).as_secs_f64()
     }
 
-    fn counted(&self) -> f64 {
-        f64::from(u8::from(COUNTED.contains(&self.at())))
+    fn measured(&self) -> f64 {
+        f64::from(u8::from(MEASURED.contains(&self.at())))
     }
 
     fn draw(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
 
-    /// Sends the requests of one customer, whatever becomes of them.
-    async fn arrivals(self: Rc<Self>, customer: usize, mut fate: SmallRng) {
+    /// Sends the requests of one customer, without regard to their outcomes.
+    async fn arrivals(self: Rc<Self>, customer: usize, mut rng: SmallRng) {
         let (_, count, capacity, mean) = POOLS[1];
         loop {
-            // Bursts are the weaker customers': theirs is doubled to make up the whole load.
+            // Only the customers of lower priority have bursts. Their load is doubled to reach the
+            // whole.
             let [usual, burst] = self.case.1;
             let more = if customer == 0 { 0.0 } else { 2.0 * (burst - usual) };
             let load = usual + if FAULT.contains(&self.at()) { more } else { 0.0 };
             let rate = (count * capacity) as f64 / mean * CUSTOMERS[customer].2 * load;
-            sleep(Duration::from_secs_f64(-(1.0 - fate.random::<f64>()).ln() / rate)).await;
+            sleep(Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / rate)).await;
             spawn_local(Rc::clone(&self).caller(customer));
         }
     }
 
-    /// Sends a request until it is answered.
+    /// Sends a request again and again until it is answered.
     async fn caller(self: Rc<Self>, customer: usize) {
-        let (sent, mut first) = (now(), self.counted());
+        let (sent, mut first) = (now(), self.measured());
         let after = if self.at() > FAULT.end + 2.0 { first } else { 0.0 };
         self.tally.borrow_mut().0[customer] += first;
         self.tally.borrow_mut().7[0] += after;
@@ -144,7 +147,7 @@
         let mut tally = self.tally.borrow_mut();
         tally.1[customer] += first;
         tally.7[1] += after * first;
-        tally.2 += self.counted();
+        tally.2 += self.measured();
         tally.6.push((now() - sent).as_millis());
     }
 
@@ -195,10 +198,10 @@
         Ok(())
     }
 
-    /// Calls an upstream; returns whether it answered.
+    /// Calls an upstream. Returns whether it answered.
     async fn call(&self, router: &Router, pick: Pick, prefix: u64, mean: f64) -> bool {
-        self.tally.borrow_mut().5 += self.counted();
-        let (slots, cache, slow, end, killed) = &self.replicas[pick.upstream.name.as_str()];
+        self.tally.borrow_mut().5 += self.measured();
+        let (slots, cache, slowdown, end, killed) = &self.replicas[pick.upstream.name.as_str()];
         let (mut call, sent) = (Call(self, router, pick, CallEnd::Abandoned, None), now());
         if let Some(end) = end.get() {
             call.3 = end;
@@ -210,8 +213,8 @@
             let held = cache.borrow().iter().position(|it| *it == prefix);
             cache.borrow_mut().remove(held.unwrap_or(11));
             cache.borrow_mut().push_front(prefix);
-            let kept = if held.is_some() { 0.75 } else { 1.0 };
-            let time = mean * slow.get() * kept * (0.6 - 0.4 * (1.0 - self.draw()).ln());
+            let factor = if held.is_some() { 0.75 } else { 1.0 };
+            let time = mean * slowdown.get() * factor * (0.6 - 0.4 * (1.0 - self.draw()).ln());
             sleep(Duration::from_secs_f64(time)).await;
             self.at() < FAULT.start || self.draw() >= self.case.4
         };
@@ -221,16 +224,16 @@
             it = served => it,
         };
         let total = now() - sent;
-        let whole = CallEnd::Ok { first_byte: total, total, tokens: Tokens(1) };
-        call.3 = if answered { whole } else { CallEnd::Failed };
+        let success = CallEnd::Ok { first_byte: total, total, tokens: Tokens(1) };
+        call.3 = if answered { success } else { CallEnd::Failed };
         answered
     }
 
-    /// Ticks the routers, makes digests, and brings the fault about.
-    async fn platform(&self) {
-        let (_, _, [first, all], (count, how), _, every, _) = *self.case;
+    /// Ticks the routers, sends digests and causes the fault.
+    async fn control(&self) {
+        let (_, _, [first, all], (count, end_kind), _, every, _) = *self.case;
         let (mut sequence, mut next, mut fault) = (0, 0.0, FAULT.start);
-        while self.at() < COUNTED.end + 5.0 {
+        while self.at() < MEASURED.end + 5.0 {
             self.routers.iter().for_each(|it| it.tick(now()));
             if self.at() >= next {
                 let every = if self.at() < FAULT.start { every.min(1_000) } else { every };
@@ -246,10 +249,10 @@
             if self.at() >= fault {
                 fault = f64::INFINITY;
                 let replicas = self.replicas.range("write".to_owned()..).enumerate();
-                for (at, (_, (_, _, slow, end, gone))) in replicas {
-                    slow.set(if at == 0 { first * all } else { all });
-                    end.set((1..=count).contains(&at).then_some(how));
-                    end.get().iter().for_each(|_| gone.notify_waiters());
+                for (at, (_, (_, _, slowdown, end, killed))) in replicas {
+                    slowdown.set(if at == 0 { first * all } else { all });
+                    end.set((1..=count).contains(&at).then_some(end_kind));
+                    end.get().iter().for_each(|_| killed.notify_waiters());
                 }
             }
             sleep(Duration::from_millis(5)).await;
@@ -265,15 +268,15 @@
         tally = tokio::task::LocalSet::new().block_on(&runtime, async {
             let world = World::open(case, rules, seed, tally);
             for customer in 0..CUSTOMERS.len() {
-                let fate = SmallRng::seed_from_u64(seed * 10 + customer as u64);
-                spawn_local(Rc::clone(&world).arrivals(customer, fate));
+                let rng = SmallRng::seed_from_u64(seed * 10 + customer as u64);
+                spawn_local(Rc::clone(&world).arrivals(customer, rng));
             }
-            world.platform().await;
+            world.control().await;
             world.tally.take()
         });
     }
     let Tally(first, attained, good, busy, useful, calls, mut late, after) = tally;
-    let time = seeds as f64 * (COUNTED.end - COUNTED.start);
+    let time = seeds as f64 * (MEASURED.end - MEASURED.start);
     late.sort_unstable();
     let p95 = late.get(late.len() * 95 / 100).copied().unwrap_or(0);
     let [strong, heavy, light] = [0, 1, 2].map(|it| 100.0 * attained[it] / first[it].max(1.0));
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who starts, who waits, who is refused.
+//! Tests which calls start, wait or are refused.
 
 mod common;
 
@@ -8,62 +8,62 @@
 
 type Queued = tokio::sync::oneshot::Receiver<Result<Slot, Refusal>>;
 
-fn go(turn: Turn) -> Slot {
+fn expect_granted(turn: Turn) -> Slot {
     match turn {
         Turn::Go(slot) => slot,
-        other => panic!("expected a place, got {other:?}"),
+        other => panic!("expected a slot, got {other:?}"),
     }
 }
 
-fn wait(turn: Turn) -> Queued {
+fn expect_queued(turn: Turn) -> Queued {
     match turn {
         Turn::Wait(queued) => queued,
         other => panic!("expected to wait, got {other:?}"),
     }
 }
 
-fn refused(turn: Turn) -> Refusal {
+fn expect_refused(turn: Turn) -> Refusal {
     match turn {
         Turn::Refused(refusal) => refusal,
         other => panic!("expected a refusal, got {other:?}"),
     }
 }
 
-/// Takes the one that got its place out of the queued.
+/// Removes the queued call that got its slot.
 fn started(queued: &mut [Queued]) -> Option<(usize, Slot)> {
     let tries = queued.iter_mut().enumerate();
     tries.into_iter().find_map(|(at, it)| Some((at, it.try_recv().ok()?.ok()?)))
 }
 
-// Symptom: an appraisal answered late while buyer replies that came before it ran.
-// Sequence: a full pool, weaker calls queued first, then a strong one, then one ends.
-// Cause: a queue in the order of arrival.
+// Guards against a request of priority 0 that is answered late because calls of lower priority that
+// were queued before it start first: the pool is full, and one call ends. The queue must not be in
+// order of arrival.
 #[test]
-fn stronger_starts_before_weaker_that_came_first() {
+fn higher_priority_starts_before_lower_that_came_first() {
     let bench = Bench::writers(1, 1);
-    let running = go(bench.enter("desk", 3, ms(5_000)));
+    let running = expect_granted(bench.enter("desk", 3, ms(5_000)));
     let mut queued = [
-        wait(bench.enter("desk", 3, ms(5_000))),
-        wait(bench.enter("desk", 3, ms(4_000))),
-        wait(bench.enter("desk", 0, ms(6_000))),
+        expect_queued(bench.enter("desk", 3, ms(5_000))),
+        expect_queued(bench.enter("desk", 3, ms(4_000))),
+        expect_queued(bench.enter("desk", 0, ms(6_000))),
     ];
     drop(running);
     let (first, slot) = started(&mut queued).expect("a start");
-    assert_eq!(first, 2, "the strong one");
+    assert_eq!(first, 2, "the one of higher priority");
     drop(slot);
     let (second, _slot) = started(&mut queued).expect("a start");
     assert_eq!(second, 1, "the one with the earlier deadline");
 }
 
-// Symptom: a customer with few requests waits behind hundreds of another's.
-// Sequence: one customer queues a long row, another one call of the same priority.
-// Cause: order by deadline alone within a priority.
+// Guards against a customer with few requests that waits behind hundreds of another's of the same
+// priority. This happens if calls of one priority are ordered by deadline alone.
 #[test]
 fn customers_of_one_priority_take_turns() {
     let bench = Bench::writers(1, 1);
-    let mut running = go(bench.enter("yard", 3, ms(5_000)));
-    let mut queued: Vec<_> = (0..6).map(|_| wait(bench.enter("yard", 3, ms(4_000)))).collect();
-    queued.push(wait(bench.enter("studio", 3, ms(6_000))));
+    let mut running = expect_granted(bench.enter("yard", 3, ms(5_000)));
+    let mut queued: Vec<_> =
+        (0..6).map(|_| expect_queued(bench.enter("yard", 3, ms(4_000)))).collect();
+    queued.push(expect_queued(bench.enter("studio", 3, ms(6_000))));
     let mut turn = None;
     for at in 0..3 {
         drop(running);
@@ -77,14 +77,14 @@
     assert!(soon, "the light customer waits for one call at most, its turn was {turn:?}");
 }
 
-// Symptom: answers that are late by the time their stage starts, and a pool kept busy with them.
-// Sequence: a call queued behind a long one; its deadline comes nearer than the stage takes.
-// Cause: a queue that only looks at a call when its turn comes.
+// Guards against answers that are late when their stage starts, and against a pool that is kept
+// busy with them: a call waits behind a long one until less time is left than its stage takes. This
+// happens if the queue only checks a call when its turn comes.
 #[test]
 fn queued_call_leaves_once_its_time_no_longer_suffices() {
     let mut bench = Bench::writers(1, 1);
-    let _running = go(bench.enter("desk", 3, ms(5_000)));
-    let mut queued = wait(bench.enter("yard", 0, ms(700)));
+    let _running = expect_granted(bench.enter("desk", 3, ms(5_000)));
+    let mut queued = expect_queued(bench.enter("yard", 0, ms(700)));
     bench.pass(ms(400));
     assert!(queued.try_recv().is_err(), "300 ms are left for 200 ms of work");
     bench.pass(ms(150));
@@ -92,89 +92,86 @@
     assert_eq!(refusal.reason, RefusalReason::DeadlineTooShort);
 }
 
-// Symptom: a strong request refused because the queue is full of weaker ones.
-// Sequence: weaker calls fill the queue to its bound, then a strong one comes.
-// Cause: a bound that does not look at the claim.
+// Guards against a request of high priority that is refused because the queue is full of calls of
+// lower priority. This happens if the bound of the queue ignores priorities.
 #[test]
-fn stronger_displaces_the_weakest() {
+fn higher_priority_displaces_the_lowest() {
     let bench = Bench::writers(1, 1);
-    let _running = go(bench.enter("desk", 3, ms(60_000)));
-    let mut queued: Vec<_> = (0..8).map(|_| wait(bench.enter("desk", 3, ms(60_000)))).collect();
-    let full = refused(bench.enter("desk", 3, ms(60_000)));
+    let _running = expect_granted(bench.enter("desk", 3, ms(60_000)));
+    let mut queued: Vec<_> =
+        (0..8).map(|_| expect_queued(bench.enter("desk", 3, ms(60_000)))).collect();
+    let full = expect_refused(bench.enter("desk", 3, ms(60_000)));
     assert_eq!(full.reason, RefusalReason::QueueFull);
-    let _strong = wait(bench.enter("desk", 0, ms(60_000)));
+    let _higher = expect_queued(bench.enter("desk", 0, ms(60_000)));
     let out: Vec<_> = queued.iter_mut().filter_map(|it| it.try_recv().ok()).collect();
     let [Err(refusal)] = out.as_slice() else { panic!("expected one refusal, got {out:?}") };
     assert_eq!(refusal.reason, RefusalReason::Displaced);
 }
 
-// Symptom: a heavy customer fills the queue and a light one of the same priority is refused.
-// Sequence: one customer fills the queue, another asks.
-// Cause: a bound that counts calls and not whose they are.
+// Guards against a customer that fills the queue, so that another one of the same priority is
+// refused. This happens if the bound of the queue ignores customers.
 #[test]
-fn light_customer_displaces_the_longest_row() {
+fn light_customer_displaces_the_longest_queue() {
     let bench = Bench::writers(1, 1);
-    let _running = go(bench.enter("yard", 3, ms(60_000)));
-    let mut queued: Vec<_> = (0..8).map(|_| wait(bench.enter("yard", 3, ms(60_000)))).collect();
-    let _light = wait(bench.enter("studio", 3, ms(60_000)));
+    let _running = expect_granted(bench.enter("yard", 3, ms(60_000)));
+    let mut queued: Vec<_> =
+        (0..8).map(|_| expect_queued(bench.enter("yard", 3, ms(60_000)))).collect();
+    let _light = expect_queued(bench.enter("studio", 3, ms(60_000)));
     assert_eq!(queued.iter_mut().filter_map(|it| it.try_recv().ok()).count(), 1);
 }
 
-// Symptom: a request dies at generation after retrieval ran for it.
-// Sequence: generation has a backlog longer than the deadline; a request for both stages comes.
-// Cause: a check of the first stage alone.
+// Guards against a request that fails at generation after retrieval ran for it: generation has a
+// backlog longer than the deadline. This happens if only the first stage is checked.
 #[test]
-fn request_that_would_die_at_a_later_stage_is_refused_at_once() {
+fn request_that_would_fail_at_a_later_stage_is_refused_at_once() {
     let bench = Bench::writers(1, 1);
-    let under_way: Vec<_> = (0..9)
-        .map(|_| bench.router.admit(&bench.ask("desk", 3, ms(7_000)), bench.now).expect("room"))
+    let admitted: Vec<_> = (0..9)
+        .map(|_| bench.router.admit(&bench.ask("desk", 3, ms(7_000)), bench.now).expect("admitted"))
         .collect();
     let refusal = bench.router.admit(&bench.ask("desk", 3, ms(1_000)), bench.now);
     let refusal = refusal.expect_err("nine calls of 200 ms are ahead");
     assert_eq!(refusal.reason, RefusalReason::DeadlineTooShort);
     bench.router.admit(&bench.ask("yard", 0, ms(1_000)), bench.now).expect("nothing is ahead");
-    bench.router.admit(&bench.ask("studio", 3, ms(1_000)), bench.now).expect("its own turn");
-    drop(under_way);
+    bench.router.admit(&bench.ask("studio", 3, ms(1_000)), bench.now).expect("its customer's turn");
+    drop(admitted);
     bench.router.admit(&bench.ask("desk", 3, ms(1_000)), bench.now).expect("the backlog is gone");
 }
 
-// Symptom: pipelines that need only retrieval are refused during a burst of generation.
-// Sequence: generation is full and queued; a search comes.
-// Cause: one queue, or one backlog, for all pools.
+// Guards against pipelines that need only retrieval and are refused during a burst of generation.
+// This happens if all pools share one queue or one backlog.
 #[test]
 fn burst_of_generation_leaves_retrieval_alone() {
     let bench = Bench::writers(1, 1);
-    let _under_way: Vec<_> = (0..30)
-        .map(|_| bench.router.admit(&bench.ask("desk", 3, ms(9_000)), bench.now).expect("room"))
+    let _admitted: Vec<_> = (0..30)
+        .map(|_| bench.router.admit(&bench.ask("desk", 3, ms(9_000)), bench.now).expect("admitted"))
         .collect();
-    let _running = go(bench.enter("desk", 3, ms(9_000)));
+    let _running = expect_granted(bench.enter("desk", 3, ms(9_000)));
     let _queued: Vec<_> = (0..8).map(|_| bench.enter("desk", 3, ms(9_000))).collect();
     let mut ask = bench.ask("studio", 5, ms(200));
     ask.pipeline = name("search");
     bench.router.admit(&ask, bench.now).expect("retrieval is free");
-    go(bench.router.enter(&name("find"), &ask, ask.deadline, bench.now));
+    expect_granted(bench.router.enter(&name("find"), &ask, ask.deadline, bench.now));
 }
 
-// Symptom: refused callers come back all at once, and again, and the overload never ends.
-// Sequence: hundreds are refused within an instant.
-// Cause: one fixed time to come back.
+// Guards against refused callers that all retry at once, again and again, so that the overload
+// never ends: hundreds are refused within an instant, and all are told the same time.
 #[test]
-fn time_to_come_back_grows_with_the_overload_and_is_spread() {
+fn time_to_retry_grows_with_the_overload_and_is_spread() {
     let bench = Bench::writers(1, 1);
-    let _running = go(bench.enter("desk", 3, ms(60_000)));
+    let _running = expect_granted(bench.enter("desk", 3, ms(60_000)));
     let times: Vec<_> =
-        (0..200).map(|_| refused(bench.enter("desk", 3, ms(100))).retry_after).collect();
+        (0..200).map(|_| expect_refused(bench.enter("desk", 3, ms(100))).retry_after).collect();
     let mean = |part: &[std::time::Duration]| part.iter().sum::<std::time::Duration>() / 20;
     assert!(mean(&times[180..]) > 4 * mean(&times[..20]), "{times:?}");
     let distinct: std::collections::BTreeSet<_> = times[180..].iter().collect();
     assert!(distinct.len() > 15, "spread: {distinct:?}");
 }
 
-// Symptom: eight entries each fill the whole pool, or one entry uses an eighth of an idle one.
-// Sequence: digests say how much the others use; a pool of 40 hands out 46.
-// Cause: a limit that ignores the others, or that is an even part come what may.
+// Guards against eight entries that each fill the whole pool, and against one entry that uses an
+// eighth of an idle pool. Digests report how much the others use; the entries share 46 calls in a
+// pool of 40. The limit must neither ignore the others nor always be an even share.
 #[test]
-fn entry_takes_its_part_of_what_is_free() {
+fn entry_takes_its_share_of_what_is_free() {
     struct Case {
         name: &'static str,
         others: u32,
@@ -191,7 +188,8 @@
         let mut bench = Bench::writers(4, 10);
         let mut running = Vec::new();
         for _ in 0..case.digests {
-            // The digest counts calls at upstreams; these slots never pick one, so none is own.
+            // The digest counts calls at upstreams; these slots never pick one, so none counts as
+            // own.
             let loads: Vec<_> =
                 (0..4).map(|it| load(&format!("write-{it:03}"), case.others / 4)).collect();
             bench.digest(4, &loads);
@@ -204,39 +202,40 @@
     }
 }
 
-// Symptom: a place is lost for good when a queued caller goes away.
-// Sequence: a queued call's receiver is dropped, then the running one ends.
-// Cause: a place handed to a receiver that is gone.
+// Guards against a slot that is lost for good when a queued caller leaves: the receiver is dropped
+// before the running call ends, and the slot goes to it.
 #[test]
-fn place_of_a_caller_that_is_gone_goes_to_the_next() {
+fn slot_of_a_caller_that_is_gone_goes_to_the_next() {
     let bench = Bench::writers(1, 1);
-    let running = go(bench.enter("desk", 3, ms(5_000)));
-    drop(wait(bench.enter("desk", 3, ms(4_000))));
-    let mut second = wait(bench.enter("desk", 3, ms(5_000)));
+    let running = expect_granted(bench.enter("desk", 3, ms(5_000)));
+    drop(expect_queued(bench.enter("desk", 3, ms(4_000))));
+    let mut second = expect_queued(bench.enter("desk", 3, ms(5_000)));
     drop(running);
-    let slot = second.try_recv().expect("an answer").expect("a place");
+    let slot = second.try_recv().expect("an answer").expect("a slot");
     drop(slot);
-    go(bench.enter("desk", 3, ms(5_000)));
+    expect_granted(bench.enter("desk", 3, ms(5_000)));
 }
 
-// Symptom: an idle pool refuses everything for good.
-// Sequence: a few calls took longer than the deadline; the estimate says that none can end in time.
-// Cause: an estimate that refuses the calls that alone could correct it.
+// Guards against an idle pool that refuses everything for good: a few calls took longer than the
+// deadline, so the estimate says that none can end in time. Only the refused calls could correct
+// it.
 #[test]
 fn idle_pool_takes_a_call_whatever_the_estimate_says() {
     let mut bench = Bench::writers(1, 1);
     bench.calls(20, |_| ms(60_000));
     let ask = bench.ask("desk", 3, ms(5_000));
     let admission = bench.router.admit(&ask, bench.now).expect("nothing is under way");
-    let slot = go(bench.enter("desk", 3, ms(5_000)));
-    assert_eq!(refused(bench.enter("desk", 3, ms(5_000))).reason, RefusalReason::DeadlineTooShort);
+    let slot = expect_granted(bench.enter("desk", 3, ms(5_000)));
+    assert_eq!(
+        expect_refused(bench.enter("desk", 3, ms(5_000))).reason,
+        RefusalReason::DeadlineTooShort
+    );
     bench.router.admit(&ask, bench.now).expect_err("one is under way");
     drop((admission, slot));
 }
 
-// Symptom: a stage uses up the time of the stages behind it, or is cut off with time to spare.
-// Sequence: a request for both stages with much, little and too little time.
-// Cause: a deadline for all stages alike, or one split by count.
+// Guards against a stage that uses up the time of later stages, or is cut off with time to spare.
+// This happens if all stages get the same deadline, or equal parts of the time.
 #[test]
 fn deadline_is_split_by_measured_times() {
     struct Case {
@@ -264,19 +263,19 @@
     }
 }
 
-// Symptom: more calls run than the pool has places, or a queued one waits for ever.
-// Sequence: eight threads enter, wait for their turn and leave, without a single tick.
-// Cause: a place counted or handed over by two threads at once, or seen free by neither.
+// Guards against more running calls than slots, and against a queued call that waits for ever:
+// eight threads enter, wait for their slots and leave, without a tick. A slot must not be counted
+// or granted twice by two threads, nor seen as free by none.
 #[test]
-fn threads_share_the_places_of_a_pool() {
+fn threads_share_the_slots_of_a_pool() {
     let bench = Bench::writers(3, 1);
     let running = std::sync::atomic::AtomicUsize::new(0);
     let work = |customer: &str| {
         for _ in 0..2_000 {
             let slot = match bench.enter(customer, 3, ms(3_600_000)) {
                 Turn::Go(slot) => slot,
-                Turn::Wait(queued) => queued.blocking_recv().expect("an answer").expect("a place"),
-                Turn::Refused(refusal) => panic!("eight fit into the queue: {refusal}"),
+                Turn::Wait(queued) => queued.blocking_recv().expect("an answer").expect("a slot"),
+                Turn::Refused(refusal) => panic!("the queue holds eight calls: {refusal}"),
             };
             let others = running.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
             assert!(others < 3, "{others} others run");
@@ -291,24 +290,25 @@
     });
 }
 
-// Symptom: appraisals are late while the pool is full of buyer replies.
-// Sequence: all appraisals come to one entry of four, and their number exceeds its part; the other
-// entries use the rest of the pool.
-// Cause: a part of the pool that does not ask what it is used for.
+// Guards against requests of priority 0 that are late while the pool is full of others: they all
+// come to one entry of four, and exceed its share, while the other entries use the rest of the
+// pool.
 #[test]
-fn priority_0_goes_over_the_part_of_its_entry() {
+fn priority_0_exceeds_the_share_of_its_entry() {
     let mut bench = Bench::writers(4, 10);
     let loads: Vec<_> = (0..4).map(|it| load(&format!("write-{it:03}"), 12)).collect();
     bench.digest(4, &loads);
-    let mut running: Vec<_> = (0..13).map(|_| go(bench.enter("desk", 3, ms(9_000)))).collect();
-    let _weaker = wait(bench.enter("desk", 3, ms(9_000)));
-    running.extend((0..10).map(|_| go(bench.enter("yard", 0, ms(9_000)))));
-    let _no_more = wait(bench.enter("yard", 0, ms(9_000)));
+    let mut running: Vec<_> =
+        (0..13).map(|_| expect_granted(bench.enter("desk", 3, ms(9_000)))).collect();
+    let _lower = expect_queued(bench.enter("desk", 3, ms(9_000)));
+    running.extend((0..10).map(|_| expect_granted(bench.enter("yard", 0, ms(9_000)))));
+    let _no_more = expect_queued(bench.enter("yard", 0, ms(9_000)));
 }
 
-// Symptom: after a burst of long texts short ones are refused, `deadline-too-short`, on idle upstreams.
-// Sequence: both share a pool; short ones are slow in the burst; then only long ones run; a short one
-// comes. Cause: an estimate that is not measured again faded over minutes, or to the pool's mean.
+// Guards against short stages that are refused with `deadline-too-short` on idle upstreams after a
+// burst of long ones in the same pool: the short ones are slow in the burst, then only long ones
+// run, then a short one comes. An estimate without new samples must not keep the old time for
+// minutes, nor approach the pool's mean.
 #[test]
 fn short_stage_is_not_taken_for_the_long_one_beside_it() {
     let find = pool(PoolKind::Retrieve, "find", 4, 100);
@@ -327,34 +327,34 @@
         bench.router.stage_ended(&long, 0, ms(2_000), bench.now);
         bench.pass(ms(200));
     }
-    let _running = go(bench.enter("yard", 4, ms(9_000)));
+    let _running = expect_granted(bench.enter("yard", 4, ms(9_000)));
     long.deadline = bench.now + ms(9_000);
-    let _under_way = bench.router.admit(&long, bench.now).expect("room");
+    let _admitted = bench.router.admit(&long, bench.now).expect("admitted");
     short.deadline = bench.now + ms(800);
     let admitted = bench.router.admit(&short, bench.now);
     assert!(admitted.is_ok(), "200 ms of work in 800 ms: {admitted:?}");
 }
 
-// Symptom: work is refused, queue-full, while a pool of three to five replicas has free places.
-// Sequence: six entries share eight places; one has three calls at once while others have none.
-// Cause: the even part of a small pool is one or two places, and the digest lags.
+// Guards against `queue-full` refusals while a pool of three to five replicas has free slots: six
+// entries share eight slots, and one has three calls at once while others have none. The even share
+// of a small pool is one or two slots, and the digest lags.
 #[test]
-fn entry_may_run_more_than_its_even_part_of_a_small_pool() {
+fn entry_may_run_more_than_its_even_share_of_a_small_pool() {
     struct Case {
         name: &'static str,
         replicas: usize,
-        places: u32,
+        slots: u32,
         starts: usize,
     }
     let cases = [
-        Case { name: "8 places", replicas: 4, places: 2, starts: 3 },
-        Case { name: "6 places", replicas: 3, places: 2, starts: 2 },
-        Case { name: "48 places", replicas: 12, places: 4, starts: 10 },
-        Case { name: "600 places", replicas: 100, places: 6, starts: 107 },
+        Case { name: "8 slots", replicas: 4, slots: 2, starts: 3 },
+        Case { name: "6 slots", replicas: 3, slots: 2, starts: 2 },
+        Case { name: "48 slots", replicas: 12, slots: 4, starts: 10 },
+        Case { name: "600 slots", replicas: 100, slots: 6, starts: 107 },
     ];
     for case in cases {
-        let mut bench = Bench::writers(case.replicas, case.places);
-        let busy = |it| load(&format!("write-{it:03}"), case.places);
+        let mut bench = Bench::writers(case.replicas, case.slots);
+        let busy = |it| load(&format!("write-{it:03}"), case.slots);
         let loads: Vec<_> = (0..case.replicas).map(busy).collect();
         bench.digest(6, &loads);
         let turns = std::iter::from_fn(|| match bench.enter("desk", 3, ms(5_000)) {
@@ -365,32 +365,32 @@
     }
 }
 
-// Symptom: requests fail with `queue-full` after their first stage ran, and come back to do so again.
-// Sequence: the queue of a later stage is full; a request asks at the door.
-// Cause: a check at the door of clocks alone.
+// Guards against requests that fail with `queue-full` after their first stage ran, and are retried
+// to fail again: the queue of a later stage is full, and admission checks only times.
 #[test]
-fn full_queue_of_a_later_stage_refuses_at_the_door() {
+fn full_queue_of_a_later_stage_refuses_at_admission() {
     let bench = Bench::writers(1, 1);
-    let _running = go(bench.enter("desk", 3, ms(60_000)));
-    let _queued: Vec<_> = (0..8).map(|_| wait(bench.enter("desk", 3, ms(60_000)))).collect();
+    let _running = expect_granted(bench.enter("desk", 3, ms(60_000)));
+    let _queued: Vec<_> =
+        (0..8).map(|_| expect_queued(bench.enter("desk", 3, ms(60_000)))).collect();
     let refusal = bench.router.admit(&bench.ask("desk", 3, ms(60_000)), bench.now);
-    assert_eq!(refusal.expect_err("no room behind").reason, RefusalReason::QueueFull);
+    assert_eq!(refusal.expect_err("the later queue is full").reason, RefusalReason::QueueFull);
     for (customer, priority) in [("yard", 0), ("yard", 2), ("studio", 3)] {
         let other = bench.router.admit(&bench.ask(customer, priority, ms(60_000)), bench.now);
         assert!(other.is_ok(), "{customer}, priority {priority}, displaces: {other:?}");
     }
 }
 
-// Symptom: an appraisal refused once is told to come back past its deadline, and is late.
-// Sequence: a burst of weaker requests is refused, then one of priority 0.
-// Cause: all refused callers counted as ahead of it.
+// Guards against a request of priority 0 that is refused once, told to retry after its deadline,
+// and late: many requests of lower priority are refused before it, and all of them count as ahead
+// of it.
 #[test]
-fn refused_weaker_callers_are_not_ahead_of_a_stronger_one() {
+fn refused_callers_of_lower_priority_are_not_ahead_of_a_higher_one() {
     let bench = Bench::writers(1, 1);
-    let _running = go(bench.enter("desk", 3, ms(60_000)));
-    let weak = (0..100).map(|_| refused(bench.enter("desk", 3, ms(100))).retry_after);
-    let weak = weak.last().expect("a refusal");
-    let strong = refused(bench.enter("yard", 0, ms(100))).retry_after;
-    assert!(strong < ms(400), "one call of 200 ms at most is ahead: {strong:?}");
-    assert!(weak > ms(5_000), "a hundred calls are ahead: {weak:?}");
+    let _running = expect_granted(bench.enter("desk", 3, ms(60_000)));
+    let low = (0..100).map(|_| expect_refused(bench.enter("desk", 3, ms(100))).retry_after);
+    let low = low.last().expect("a refusal");
+    let high = expect_refused(bench.enter("yard", 0, ms(100))).retry_after;
+    assert!(high < ms(400), "one call of 200 ms at most is ahead: {high:?}");
+    assert!(low > ms(5_000), "a hundred calls are ahead: {low:?}");
 }
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream a call goes to.
+//! Tests which upstream a call goes to.
 
 mod common;
 
@@ -10,8 +10,8 @@
 use routing::{CallEnd, Pick};
 use types::{Pool, PoolKind, UpstreamLoad};
 
-/// Picks that many without an end, and counts by upstream.
-fn spread(bench: &mut Bench, count: usize) -> (Vec<Pick>, BTreeMap<String, usize>) {
+/// Picks upstreams for `count` calls that do not end, and counts the calls by upstream.
+fn count_picks(bench: &mut Bench, count: usize) -> (Vec<Pick>, BTreeMap<String, usize>) {
     let picks: Vec<_> = (0..count).map(|_| bench.pick(&[]).expect("an upstream")).collect();
     let mut counts = BTreeMap::new();
     for pick in &picks {
@@ -20,9 +20,9 @@
     (picks, counts)
 }
 
-// Symptom: calls pile up at one upstream while others are idle.
-// Sequence: one upstream is loaded: by this entry, by others, by what it reports, by a busy answer.
-// Cause: a choice that looks at fewer signs than there are.
+// Guards against calls that pile up at one upstream while others are idle: the upstream's load
+// shows in the calls of other entries, its own report, a busy answer, or its times, and the choice
+// ignores one of them.
 #[test]
 fn loaded_upstream_gets_less() {
     struct Case {
@@ -48,7 +48,7 @@
             },
         },
         Case {
-            name: "by slowness",
+            name: "by slow calls",
             set: |it| {
                 it.calls(200, |who| if who == "write-000" { ms(2_000) } else { ms(200) });
             },
@@ -57,15 +57,14 @@
     for case in cases {
         let mut bench = Bench::writers(4, 10);
         (case.set)(&mut bench);
-        let (_picks, counts) = spread(&mut bench, 16);
+        let (_picks, counts) = count_picks(&mut bench, 16);
         let least = counts.get("write-000").copied().unwrap_or(0);
         assert!(least <= 1, "{}: {counts:?}", case.name);
     }
 }
 
-// Symptom: a straggler gets ten more calls before its first one ends.
-// Sequence: one call to it does not end while others do.
-// Cause: times learned from ended calls alone.
+// Guards against a straggler that gets ten more calls before its first one ends: one call to it
+// does not end while others do. This happens if times are learned only from calls that ended.
 #[test]
 fn call_that_does_not_end_counts_as_slow() {
     let mut bench = Bench::writers(3, 10);
@@ -73,13 +72,13 @@
     let stuck = bench.pick(&[]).expect("an upstream");
     let name = stuck.upstream.name.to_string();
     bench.pass(ms(1_500));
-    let (_picks, counts) = spread(&mut bench, 10);
+    let (_picks, counts) = count_picks(&mut bench, 10);
     assert!(!counts.contains_key(&name), "{name}: {counts:?}");
 }
 
-// Symptom: every entry sends its next calls to the same upstream.
-// Sequence: eight entries take one digest in which one upstream is a little freer; each picks a few.
-// Cause: each takes the single best of one stale view.
+// Guards against entries that all send their next calls to the same upstream: eight entries get one
+// digest in which one upstream is slightly less loaded, and each picks a few. This happens if each
+// chooses the best upstream of an outdated view.
 #[test]
 fn entries_with_one_stale_view_do_not_choose_alike() {
     let loads: Vec<_> =
@@ -89,7 +88,7 @@
         let mut bench = Bench::writers(12, 8);
         bench.rng = SmallRng::seed_from_u64(entry);
         bench.digest(8, &loads);
-        for (who, count) in spread(&mut bench, 4).1 {
+        for (who, count) in count_picks(&mut bench, 4).1 {
             *chosen.entry(who).or_insert(0) += count;
         }
     }
@@ -97,21 +96,19 @@
     assert!(most <= 6, "32 calls over 12 upstreams: {chosen:?}");
 }
 
-// Symptom: an upstream of four times the capacity is as loaded as a small one.
-// Sequence: calls of one length to a mixed pool.
-// Cause: counts compared without the capacity.
+// Guards against an upstream of four times the capacity that is as loaded as a small one. This
+// happens if counts are compared without regard to the capacity.
 #[test]
 fn load_is_relative_to_capacity() {
     let upstreams = [(name("big"), upstream(40)), (name("small"), upstream(10))];
     let write = Pool { kind: PoolKind::Generate, upstreams: upstreams.into(), ..Pool::default() };
     let mut bench = Bench::open(service(Pool::default(), write));
-    let (_picks, counts) = spread(&mut bench, 40);
+    let (_picks, counts) = count_picks(&mut bench, 40);
     assert!((28..=36).contains(&counts["big"]), "{counts:?}");
 }
 
-// Symptom: a retry goes to the upstream that just failed, though others are free.
-// Sequence: a pick that excludes all but one; then all.
-// Cause: an exclusion that only counts as a preference, or one that a probe or prefix evades.
+// Guards against a retry that goes to the upstream that just failed, though others are free. An
+// exclusion must not be a mere preference, and neither a probe nor a prefix may evade it.
 #[test]
 fn tried_upstreams_are_never_chosen_again() {
     let mut bench = Bench::writers(3, 10);
@@ -124,9 +121,8 @@
     bench.pick(&all).expect_err("none is left");
 }
 
-// Symptom: prompts that share a prefix are computed at every upstream anew.
-// Sequence: one prefix again and again, with calls in between ended.
-// Cause: a choice that forgets where the prefix went.
+// Guards against prompts with a common prefix that are computed anew at every upstream: one prefix
+// comes again and again, and its upstream is not remembered.
 #[test]
 fn prefix_returns_to_its_upstream_while_that_has_room() {
     let mut bench = Bench::writers(8, 10);
@@ -140,13 +136,15 @@
     }
     let picks: Vec<_> =
         (0..40).map(|_| bench.pick_prefix(Some(77 << 40), &[]).expect("an upstream")).collect();
-    let piled = picks.iter().filter(|it| it.upstream.name.as_str() == holder).count();
-    assert!(piled <= 15, "a popular prefix overflows its upstream: {piled} of 40 at one of 8");
+    let followed = picks.iter().filter(|it| it.upstream.name.as_str() == holder).count();
+    assert!(
+        followed <= 15,
+        "a popular prefix overflows its upstream: {followed} of 40 at one of 8"
+    );
 }
 
-// Symptom: calls follow a prefix to an upstream that is a little busier and gain nothing.
-// Sequence: calls that follow it take as long to their first byte as others.
-// Cause: an affinity that is believed and not measured.
+// Guards against calls that follow a prefix to an upstream with slightly more load and gain
+// nothing: their times to the first byte are those of other calls. The gain must be measured.
 #[test]
 fn prefix_that_gains_nothing_is_not_followed() {
     let mut bench = Bench::writers(8, 10);
@@ -168,9 +166,9 @@
     assert!(away >= 18, "{away} of 20 went elsewhere");
 }
 
-// Symptom: of four replicas with two places each one has thirteen calls, and one is idle.
-// Sequence: calls of 20 ms; entries take one digest in which one replica is free; each picks three.
-// Cause: counts as old as several calls last were half believed.
+// Guards against four replicas with two slots each of which one has thirteen calls and another is
+// idle: calls take 20 ms, and entries that get one digest in which one replica is free pick three
+// each. This happens if counts that are as old as several calls still weigh half.
 #[test]
 fn entries_do_not_crowd_the_free_replica_of_a_quick_pool() {
     let loads: Vec<_> =
@@ -182,10 +180,10 @@
         bench.calls(100, |_| ms(20));
         bench.digest(6, &loads);
         bench.now += ms(100);
-        for (who, count) in spread(&mut bench, 3).1 {
+        for (who, count) in count_picks(&mut bench, 3).1 {
             *chosen.entry(who).or_insert(0) += count;
         }
     }
     let free = chosen.get("write-002").copied().unwrap_or(0);
-    assert!(free <= 55, "an even part of 180 calls is 45: {chosen:?}");
+    assert!(free <= 55, "an even share of 180 calls is 45: {chosen:?}");
 }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small service and a clock that is moved by hand.
+//! A small service, and a clock that the tests move.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::collections::BTreeMap;
@@ -53,8 +53,8 @@
     }
 }
 
-/// A service with the pools `find` (20 ms) and `write` (200 ms): the pipeline `answer` needs both,
-/// `search` only the first.
+/// Returns a service with the pools `find` (20 ms) and `write` (200 ms). The pipeline `answer`
+/// needs both, `search` only the first.
 pub(crate) fn service(find: Pool, write: Pool) -> Service {
     let both = vec![stage("find", 20), stage("write", 200)];
     let answer = Pipeline { stages: both, deadline: Millis(7_000), priority: None };
@@ -69,7 +69,7 @@
     }
 }
 
-/// A router, its clock and its randomness.
+/// A router with its service, clock and random numbers.
 pub(crate) struct Bench {
     pub(crate) router: Router,
     pub(crate) service: Service,
@@ -79,7 +79,7 @@
 }
 
 impl Bench {
-    /// Makes an entry that is alone: the digest says so.
+    /// Creates an entry that is the only one according to its digest.
     pub(crate) fn open(service: Service) -> Self {
         Self::with_rules(service, Rules::default())
     }
@@ -93,7 +93,8 @@
         bench
     }
 
-    /// An entry with one pool `write` of that size behind the pipeline `answer`.
+    /// Creates an entry with `count` upstreams of this capacity in the pool `write`, the last stage
+    /// of the pipeline `answer`.
     pub(crate) fn writers(count: usize, capacity: u32) -> Self {
         let find = pool(PoolKind::Retrieve, "find", 4, 100);
         Self::open(service(find, pool(PoolKind::Generate, "write", count, capacity)))
@@ -105,7 +106,7 @@
         self.router.install(&self.service, self.now);
     }
 
-    /// Moves the clock and ticks.
+    /// Advances the clock and ticks the router.
     pub(crate) fn pass(&mut self, time: Duration) {
         self.now += time;
         self.router.tick(self.now);
@@ -146,13 +147,13 @@
         self.router.pick(&ask, self.now, &mut self.rng)
     }
 
-    /// Ends a call well after that time.
+    /// Ends a call successfully after the time `took`.
     pub(crate) fn end(&mut self, pick: Pick, took: Duration) {
         let end = CallEnd::Ok { first_byte: took / 4, total: took, tokens: Tokens(100) };
         self.router.ended(&pick, end, self.now);
     }
 
-    /// Calls `count` times in a row, each as long as `time` says.
+    /// Makes `count` calls in a row, each of which takes as long as `time` returns.
     pub(crate) fn calls(&mut self, count: usize, time: impl Fn(&str) -> Duration) {
         for _ in 0..count {
             let pick = self.pick(&[]).expect("an upstream");
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -1,4 +1,4 @@
-//! Ejection, return, leaving, retries and hedges.
+//! Tests ejection, readmission, leaving, retries and hedges.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use routing::{CallEnd, Rules};
 use types::{RefusalReason, UpstreamLoad, UpstreamName, UpstreamStanding};
 
-/// Ends calls that reach that upstream with `end` and all others well.
+/// Makes calls. Those that reach the upstreams in `who` end with `end`, all others succeed.
 fn calls(bench: &mut Bench, count: usize, who: &[&str], end: CallEnd) -> usize {
     let mut hits = 0;
     for _ in 0..count {
@@ -22,9 +22,8 @@
     hits
 }
 
-// Symptom: a replica that fails each call at once looks the least loaded and draws all calls.
-// Sequence: one of eight ends each call in that way.
-// Cause: no ejection, or one that condemns the upstream for a connection that went silent.
+// Guards against a replica that fails each call at once, so looks the least loaded and attracts all
+// calls. A connection that went silent must not count as much as an error.
 #[test]
 fn failing_upstream_is_ejected_after_few_calls() {
     struct Case {
@@ -44,9 +43,8 @@
     }
 }
 
-// Symptom: one silent connection takes an upstream out of service.
-// Sequence: one silent call among whole answers, again and again.
-// Cause: silence counted like an error.
+// Guards against one silent connection that takes an upstream out of service: silent calls
+// alternate with complete answers, and count like errors.
 #[test]
 fn silent_connections_between_whole_answers_eject_nobody() {
     let mut bench = Bench::writers(4, 10);
@@ -65,9 +63,9 @@
     assert_eq!(bench.counted("eject", "silent"), 0);
 }
 
-// Symptom: an upstream that came back gets no work, or all at once; or the pool is empty.
-// Sequence: ejected, down at the first probe, back at a later one.
-// Cause: a return without a probe, or probes by every waiting call.
+// Guards against an upstream that recovered and gets no work, or all of it at once, and against an
+// empty pool: the upstream is ejected, down at the first probe, and up at a later one. It must
+// return by a successful probe, and not every waiting call may probe it.
 #[test]
 fn ejected_upstream_returns_by_single_probes() {
     let mut bench = Bench::writers(4, 10);
@@ -82,16 +80,15 @@
     assert_eq!(bench.counted("return", "probe-succeeded"), 1);
 }
 
-// Symptom: everything is refused because every upstream is ejected.
-// Sequence: half of the pool, then all of it, fails.
-// Cause: ejection without a bound.
+// Guards against a pool that refuses everything because every upstream is ejected: half of the pool
+// fails, then all of it.
 #[test]
 fn ejection_never_empties_a_pool() {
     let mut bench = Bench::writers(4, 10);
     let all = ["write-000", "write-001", "write-002", "write-003"];
     calls(&mut bench, 400, &all, CallEnd::Failed);
     for _ in 0..50 {
-        bench.pick(&[]).expect("an upstream of a pool in trouble");
+        bench.pick(&[]).expect("an upstream of a failing pool");
     }
     assert!(bench.counted("keep", "too-many-ejected") > 0);
     let mut single = Bench::writers(1, 10);
@@ -99,21 +96,20 @@
     single.pick(&[]).expect("the only upstream");
 }
 
-// Symptom: new work goes to an upstream that said it is leaving.
-// Sequence: it says so; digests made before, and then after, call it live.
-// Cause: an older sighting taken for a newer one.
+// Guards against new work for an upstream that reported that it is leaving: digests made before its
+// report, and then after it, call it live. An older state must not override a newer one.
 #[test]
-fn leaving_is_sticky_until_a_newer_sighting() {
+fn leaving_is_sticky_until_a_newer_report() {
     struct Case {
         name: &'static str,
-        /// What digests say, and the milliseconds before each.
+        /// The standing in each digest, and the milliseconds before it.
         digests: &'static [(u64, UpstreamStanding)],
         back: bool,
     }
     use UpstreamStanding::{Leaving, Live};
     let cases = [
         Case { name: "no digest", digests: &[], back: false },
-        Case { name: "one that was under way", digests: &[(50, Live)], back: false },
+        Case { name: "one that was on its way", digests: &[(50, Live)], back: false },
         Case { name: "many of lagging sources", digests: &[(50, Live), (500, Live)], back: false },
         Case { name: "live after leaving", digests: &[(50, Leaving), (50, Live)], back: true },
         Case { name: "live after the hold", digests: &[(50, Live), (6_000, Live)], back: true },
@@ -123,17 +119,17 @@
         calls(&mut bench, 20, &["write-000"], CallEnd::Leaving);
         for (after, standing) in case.digests {
             bench.pass(ms(*after));
-            let word = UpstreamLoad { standing: *standing, ..load("write-000", 0) };
-            bench.digest(1, &[word]);
+            let load = UpstreamLoad { standing: *standing, ..load("write-000", 0) };
+            bench.digest(1, &[load]);
         }
         let hits = calls(&mut bench, 50, &["write-000"], CallEnd::Abandoned);
         assert_eq!(hits > 0, case.back, "{}", case.name);
     }
 }
 
-// Symptom: a leaving upstream gets work because all others are excluded, ejected or leaving.
-// Sequence: the only other upstream was tried; then all leave.
-// Cause: a last resort that forgets that leaving is no fault.
+// Guards against a leaving upstream that gets work because all others are excluded, ejected or
+// leaving: the only other upstream was tried; then both are leaving. Unlike an ejected one, a
+// leaving upstream must not be used as a last resort.
 #[test]
 fn leaving_upstream_gets_nothing_even_as_the_last_one() {
     let mut bench = Bench::writers(2, 10);
@@ -142,7 +138,7 @@
         UpstreamLoad { standing, ..load(who, 0) }
     };
     bench.digest(1, &[leaving("write-000")]);
-    assert_eq!(bench.counted("eject", "leaving"), 1, "an operator sees when it is passed over");
+    assert_eq!(bench.counted("eject", "leaving"), 1, "an operator sees that it gets no calls");
     let tried: [UpstreamName; 1] = [name("write-001")];
     let refusal = bench.pick(&tried).expect_err("the other one is leaving");
     assert_eq!(refusal.reason, RefusalReason::NoUpstream);
@@ -152,9 +148,8 @@
     assert!(matches!(turn, routing::Turn::Refused(it) if it.reason == RefusalReason::NoUpstream));
 }
 
-// Symptom: retries keep a failing pool down.
-// Sequence: every fresh call asks for a retry.
-// Cause: retries without a bound, or past the clock.
+// Guards against retries that keep a failing pool down: every new call asks for a retry. Retries
+// must be limited, and there must be time for them.
 #[test]
 fn retries_are_a_share_of_fresh_work() {
     let mut bench = Bench::writers(4, 10);
@@ -165,7 +160,7 @@
         let retry = bench.router.may_retry(&pool, ms(5_000), bench.now);
         granted += usize::from(retry.is_ok());
     }
-    // Saved up at the install, when at least one other entry had to be counted on: 2 * 40 / 2.
+    // The budget was filled at the install, assuming one other entry: 2 * 40 / 2.
     assert!((139..=141).contains(&granted), "a tenth of 1000, and 40: {granted}");
     let refusal = bench.router.may_retry(&pool, ms(5_000), bench.now).expect_err("spent");
     assert_eq!(refusal.reason, RefusalReason::RetryBudget);
@@ -173,9 +168,9 @@
     assert_eq!(late.reason, RefusalReason::DeadlineTooShort);
 }
 
-// Symptom: hedges that cannot end in time, or where only cost counts.
-// Sequence: calls of 20 to 60 ms to the first byte, then picks with more and less time.
-// Cause: a fixed delay, or one that ignores clock and policy.
+// Guards against hedges that cannot end in time, and against hedges where only cost counts: calls
+// take 20 to 60 ms to the first byte, then picks have more or less time. The delay must follow the
+// measured times, the time left and the policy.
 #[test]
 fn hedge_is_offered_only_where_it_pays() {
     struct Case {
@@ -188,7 +183,7 @@
     let on = Rules::default();
     let off = Rules { hedge: false, ..on };
     let cases = [
-        Case { name: "plenty", left: 5_000, attainment: 0.8, rules: on, offered: true },
+        Case { name: "enough time", left: 5_000, attainment: 0.8, rules: on, offered: true },
         Case { name: "too late", left: 150, attainment: 0.8, rules: on, offered: false },
         Case { name: "cost counts", left: 5_000, attainment: 0.1, rules: on, offered: false },
         Case { name: "rule off", left: 5_000, attainment: 0.8, rules: off, offered: false },
@@ -211,9 +206,8 @@
     }
 }
 
-// Symptom: an operator cannot tell why requests were refused.
-// Sequence: an ejection, a return and thousands of refusals.
-// Cause: a log that is flooded, or that has no reasons.
+// Guards against an operator who can't tell why requests were refused: there is an ejection, and
+// then thousands of refusals, which must neither displace it nor lack reasons.
 #[test]
 fn decisions_say_why_and_refusals_do_not_flood_them() {
     let mut bench = Bench::writers(4, 10);
@@ -229,9 +223,9 @@
     assert_eq!(bench.counted("refuse", "deadline-too-short"), 5_000);
 }
 
-// Symptom: every call to a pool counts as silent, for good.
-// Sequence: a new pool takes 5 s to the first byte; calls are given up at the limit they were told.
-// Cause: a limit that only calls within it can raise.
+// Guards against a pool of which every call counts as silent, for good: it takes 5 s to the first
+// byte, and calls are abandoned at their limit. This happens if only calls within the limit can
+// raise it.
 #[test]
 fn pool_slower_than_the_first_byte_limit_is_learned() {
     let mut bench = Bench::writers(4, 10);
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -1,25 +1,24 @@
-//! Limits per customer.
+//! Tests the limits per customer.
 
 mod common;
 
 use common::{Bench, ms, name};
 use types::{CustomerLimits, Rate, RefusalReason, Tokens};
 
-/// Admits as many as the limits allow at once; they stay under way.
+/// Admits as many requests as the limits allow at once, and keeps them in flight.
 fn burst(bench: &Bench) -> (Vec<routing::Admission>, RefusalReason) {
-    let mut under_way = Vec::new();
+    let mut admitted = Vec::new();
     loop {
         match bench.router.admit(&bench.ask("yard", 0, ms(60_000)), bench.now) {
-            Ok(admission) => under_way.push(admission),
-            Err(refusal) => return (under_way, refusal.reason),
+            Ok(admission) => admitted.push(admission),
+            Err(refusal) => return (admitted, refusal.reason),
         }
-        assert!(under_way.len() < 1_000, "no limit");
+        assert!(admitted.len() < 1_000, "no limit");
     }
 }
 
-// Symptom: a customer gets its limit once for each entry.
-// Sequence: several entries, shares not yet there, there, and older than a lowered limit.
-// Cause: the whole limit used by each entry.
+// Guards against a customer that gets its whole limit at each entry: there are several entries,
+// whose shares are not assigned yet, assigned, or older than a lowered limit.
 #[test]
 fn limits_hold_across_entries() {
     struct Case {
@@ -27,7 +26,7 @@
         entries: u32,
         limit: u32,
         share: Option<u32>,
-        most: usize,
+        max: usize,
     }
     let cases = [
         Case {
@@ -35,17 +34,17 @@
             entries: 0,
             limit: 40,
             share: None,
-            most: 20,
+            max: 20,
         },
-        Case { name: "no share yet", entries: 8, limit: 40, share: None, most: 5 },
-        Case { name: "fewer places than entries", entries: 8, limit: 3, share: None, most: 1 },
-        Case { name: "a share", entries: 8, limit: 40, share: Some(30), most: 30 },
+        Case { name: "no share yet", entries: 8, limit: 40, share: None, max: 5 },
+        Case { name: "fewer slots than entries", entries: 8, limit: 3, share: None, max: 1 },
+        Case { name: "a share", entries: 8, limit: 40, share: Some(30), max: 30 },
         Case {
             name: "an old share over the limit",
             entries: 8,
             limit: 10,
             share: Some(30),
-            most: 10,
+            max: 10,
         },
     ];
     for case in cases {
@@ -61,17 +60,17 @@
             let share = CustomerLimits { concurrency: case.share, ..CustomerLimits::default() };
             bench.router.shares(&name("yard"), &share);
         }
-        let (under_way, reason) = burst(&bench);
-        assert_eq!(under_way.len(), case.most, "{}", case.name);
+        let (admitted, reason) = burst(&bench);
+        assert_eq!(admitted.len(), case.max, "{}", case.name);
         assert_eq!(reason, RefusalReason::CustomerConcurrency);
-        drop(under_way);
-        assert_eq!(burst(&bench).0.len(), case.most, "{}: given back", case.name);
+        drop(admitted);
+        assert_eq!(burst(&bench).0.len(), case.max, "{}: given back", case.name);
     }
 }
 
-// Symptom: a customer sends a day's requests in one second, or is refused at a steady legal rate.
-// Sequence: a burst at 10 a second, then one request each 100 ms.
-// Cause: no bound on what is saved up, or one without any.
+// Guards against a customer that sends a day's requests in one second, and against one that is
+// refused at a steady, permitted rate: a burst at a limit of 10 a second, then one request each 100
+// ms. The accumulated credit must be bounded, but not zero.
 #[test]
 fn rate_allows_a_burst_and_then_its_pace() {
     let mut bench = Bench::writers(1, 1_000);
@@ -84,12 +83,11 @@
         assert_eq!(burst(&bench).0.len(), 1);
     }
     bench.pass(ms(60_000));
-    assert_eq!(burst(&bench).0.len(), 10, "being away saves up a second's worth");
+    assert_eq!(burst(&bench).0.len(), 10, "an idle customer accumulates a second's worth");
 }
 
-// Symptom: a customer generates ten times its tokens, since no request says how many it will need.
-// Sequence: requests run and are charged afterwards for more than the limit.
-// Cause: a limit checked only against what a request may generate.
+// Guards against a customer that generates ten times its tokens, as no request says how many it
+// will need: requests run, and are charged afterwards for more than the limit.
 #[test]
 fn generated_tokens_are_a_debt() {
     let mut bench = Bench::writers(1, 1_000);
@@ -105,11 +103,10 @@
     drop(ask(&bench).expect("the debt is down to a second's worth"));
 }
 
-// Symptom: one customer's refusals make another wait for minutes.
-// Sequence: one customer is refused hundreds of times, another once.
-// Cause: one count of refused callers for all.
+// Guards against refusals of one customer that make another one wait for minutes: one is refused
+// hundreds of times, another once. This happens if all customers share one count.
 #[test]
-fn time_to_come_back_is_the_customers_own() {
+fn time_to_retry_is_the_customers_own() {
     let mut bench = Bench::writers(1, 1_000);
     let limits = CustomerLimits { concurrency: Some(0), ..CustomerLimits::default() };
     for customer in ["yard", "studio"] {
