--- a/crates/gateway/src/batch/client.rs
+++ b/crates/gateway/src/batch/client.rs
@@ -125,7 +125,7 @@
     pub(crate) async fn run(&self, spec: &JobSpec) -> Result<JobResults, PieceFailure> {
         let left = (0..spec.pieces).collect();
         let mut progress = Progress {
-            batches: self,
+            client: self,
             input: &spec.input,
             done: BTreeMap::new(),
             left,
--- a/crates/gateway/src/batch/client/job.rs
+++ b/crates/gateway/src/batch/client/job.rs
@@ -26,7 +26,7 @@
 /// The completed and the outstanding pieces of a job. If dropped before all are completed, it
 /// releases the results.
 pub(super) struct Progress<'a, D: Dialect> {
-    pub(super) batches: &'a Batches<D>,
+    pub(super) client: &'a Batches<D>,
     pub(super) input: &'a PieceInput,
     pub(super) done: BTreeMap<u32, Handle>,
     pub(super) left: BTreeSet<u32>,
@@ -43,7 +43,7 @@
             FromOwner::Refused(_) => return Some(JobEnd::Refused),
             FromOwner::Fetched(_) => {
                 if let PieceInput::Results(handles) = self.input {
-                    self.batches.free_early(handles);
+                    self.client.free_early(handles);
                 }
                 return None;
             }
@@ -89,9 +89,9 @@
         stage: spec.stage,
         segments: left.iter().copied().collect(),
         input,
-        size: spec.size,
+        result_bytes: spec.size,
         domain: spec.domain.as_ref().map(ToString::to_string),
-        weight: spec.weight,
+        transfer_bytes: spec.weight,
         rank: spec.rank,
         due_ms: early - late,
         remaining_ms: spec.deadline.saturating_duration_since(now).as_millis() as u64,
@@ -102,7 +102,7 @@
 impl<D: Dialect> Drop for Progress<'_, D> {
     fn drop(&mut self) {
         let handles: Vec<Handle> = std::mem::take(&mut self.done).into_values().collect();
-        self.batches.free(&handles);
+        self.client.free(&handles);
     }
 }
 
--- a/crates/gateway/src/batch/message.rs
+++ b/crates/gateway/src/batch/message.rs
@@ -30,11 +30,11 @@
     pub(crate) segments: Vec<u32>,
     pub(crate) input: JobInput,
     /// The size of one result in bytes.
-    pub(crate) size: u64,
+    pub(crate) result_bytes: u64,
     /// The failure domain that stores the inputs or uses the results.
     pub(crate) domain: Option<String>,
     /// The bytes that cross failure domains if a piece is made in another domain.
-    pub(crate) weight: u64,
+    pub(crate) transfer_bytes: u64,
     /// The rank of the request; 0 goes first.
     pub(crate) rank: u8,
     /// When the results are due, in ms from now; negative if that has passed.
--- a/crates/routing/examples/choice.rs
+++ b/crates/routing/examples/choice.rs
@@ -40,9 +40,9 @@
     for at in 0..count {
         let prefix =
             (prefixes > 0).then(|| (at % prefixes.max(1)).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let ask = PickAsk { pool: &pool, prefix, exclude: &[], left: ms(5_000) };
+        let request = PickAsk { pool: &pool, prefix, exclude: &[], left: ms(5_000) };
         let now = begin + Duration::from_micros(at / 4);
-        in_flight[at as usize % 8] = black_box(router.pick(&ask, now, &mut rng)).ok();
+        in_flight[at as usize % 8] = black_box(router.pick(&request, now, &mut rng)).ok();
     }
     start.elapsed().as_nanos() as f64 / count as f64
 }
@@ -76,15 +76,15 @@
     println!("slope: {slope:.3} ns for each upstream more");
 
     let bench = bench(20, Rules::default());
-    let ask = bench.ask("desk", 3, ms(2_000));
+    let info = bench.request("desk", 3, ms(2_000));
     let mut admitted = Vec::new();
-    while let Ok(admission) = bench.router.admit(&bench.ask("desk", 3, ms(7_000)), bench.now) {
+    while let Ok(admission) = bench.router.admit(&bench.request("desk", 3, ms(7_000)), bench.now) {
         admitted.push(admission);
     }
     let start = Instant::now();
     for at in 0..count {
         let now = bench.now + Duration::from_nanos(at);
-        drop(black_box(bench.router.admit(&ask, now)));
+        drop(black_box(bench.router.admit(&info, now)));
     }
     let refusal = start.elapsed().as_nanos() as f64 / count as f64;
     println!("refusal of a resend with {} under way: {refusal:.0} ns", admitted.len());
--- a/crates/routing/examples/weigh.rs
+++ b/crates/routing/examples/weigh.rs
@@ -157,12 +157,12 @@
         let (who, priority, _) = CUSTOMERS[customer];
         let (customer, pipeline, priority) = (name(who), name("answer"), Priority(priority));
         let (deadline, tokens) = (now() + DEADLINE, Tokens(1));
-        let ask = Ask { customer, pipeline, priority, deadline, tokens };
-        let _admission = router.admit(&ask, now())?;
+        let info = Ask { customer, pipeline, priority, deadline, tokens };
+        let _admission = router.admit(&info, now())?;
         let prefix = ((self.draw() * self.draw() * 60.0) as u64 + 1) * 0x0101_9e37_79b9_7f4a;
         for (index, (pool, _, _, mean)) in POOLS.into_iter().enumerate() {
-            let (pool, by) = (name(pool), router.stage_deadline(&ask, index, now()));
-            let _slot = match router.enter(&pool, &ask, by, now()) {
+            let (pool, by) = (name(pool), router.stage_deadline(&info, index, now()));
+            let _slot = match router.enter(&pool, &info, by, now()) {
                 Turn::Go(slot) => slot,
                 Turn::Wait(queued) => queued.await.expect("an answer")?,
                 Turn::Refused(refusal) => return Err(refusal),
@@ -170,8 +170,9 @@
             let (began, mut tried, left) = (now(), Vec::new(), || deadline - now());
             loop {
                 let pick = |exclude: &[_]| {
-                    let ask = PickAsk { pool: &pool, prefix: Some(prefix), exclude, left: left() };
-                    router.pick(&ask, now(), &mut *self.rng.borrow_mut())
+                    let request =
+                        PickAsk { pool: &pool, prefix: Some(prefix), exclude, left: left() };
+                    router.pick(&request, now(), &mut *self.rng.borrow_mut())
                 };
                 let first = pick(&tried)?;
                 let hedge = first.hedge_after.unwrap_or(DEADLINE);
@@ -193,7 +194,7 @@
                 }
                 router.may_retry(&pool, left(), now())?;
             }
-            router.stage_ended(&ask, index, now() - began, now());
+            router.stage_ended(&info, index, now() - began, now());
         }
         Ok(())
     }
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -92,7 +92,7 @@
 /// The state of one choice.
 pub(crate) struct Choice<'a> {
     pool: &'a Pool,
-    ask: &'a PickAsk<'a>,
+    request: &'a PickAsk<'a>,
     view: EntryView,
     now: Micros,
     mean: f64,
@@ -101,10 +101,15 @@
 }
 
 impl<'a> Choice<'a> {
-    pub(crate) fn new(pool: &'a Pool, ask: &'a PickAsk<'a>, view: EntryView, now: Micros) -> Self {
+    pub(crate) fn new(
+        pool: &'a Pool,
+        request: &'a PickAsk<'a>,
+        view: EntryView,
+        now: Micros,
+    ) -> Self {
         let mean = pool.state.mean(now);
         let other_load = pool.state.other_load.get();
-        Self { pool, ask, view, now, mean, other_load, best: None }
+        Self { pool, request, view, now, mean, other_load, best: None }
     }
 
     /// Returns the upstream with the earliest expected finish among a few drawn at random and those
@@ -169,7 +174,7 @@
     }
 
     fn consider_holders(&mut self) {
-        let Some(prefix) = self.ask.prefix else {
+        let Some(prefix) = self.request.prefix else {
             return;
         };
         let prefixes = &self.pool.state.prefixes;
@@ -208,7 +213,7 @@
     /// Chooses an ejected upstream for a probe if it is due and enough time is left to call another
     /// one afterwards.
     fn probe(&mut self, view: &'a Arc<UpstreamView>) -> bool {
-        let has_time = self.ask.left.as_micros() as f64 > 3.0 * self.mean;
+        let has_time = self.request.left.as_micros() as f64 > 3.0 * self.mean;
         let has_probe = self.best.is_some_and(|it| it.probe);
         if !has_time || has_probe || !view.state.health.claim_probe(self.now) {
             return false;
@@ -224,7 +229,7 @@
     }
 
     fn is_excluded(&self, view: &UpstreamView) -> bool {
-        self.ask.exclude.contains(&view.name)
+        self.request.exclude.contains(&view.name)
     }
 
     fn expected_load(&self, view: &UpstreamView) -> f64 {
@@ -247,14 +252,14 @@
     fn pick(&self, best: Candidate<'a>) -> Pick {
         let state = &self.pool.state;
         best.view.state.call_started(self.now);
-        let prefix = self.ask.prefix.map(|it| (it, best.warm));
+        let prefix = self.request.prefix.map(|it| (it, best.warm));
         if let Some((prefix, _)) = prefix {
             state.prefixes.record(prefix, best.view.state.name_hash, self.now);
         }
         Pick {
             upstream: Arc::clone(best.view),
             first_byte: Duration::from_micros(state.first_byte_limit()),
-            hedge_after: crate::hedge::delay(state, &self.view, self.ask.left, self.mean),
+            hedge_after: crate::hedge::delay(state, &self.view, self.request.left, self.mean),
             pool: Arc::clone(state),
             start: self.now,
             probe: best.probe,
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -137,20 +137,20 @@
     /// Admits a request or refuses it at once.
     /// # Errors
     /// Returns the refusal, with the time after which to retry.
-    pub fn admit(&self, ask: &Ask, now: Instant) -> Result<Admission, Refusal> {
+    pub fn admit(&self, info: &Ask, now: Instant) -> Result<Admission, Refusal> {
         let now = self.clock.observe(now);
         let table = self.table.load();
-        let Some(stages) = table.pipelines.get(&ask.pipeline) else {
+        let Some(stages) = table.pipelines.get(&info.pipeline) else {
             return Err(self.refuse_unknown(
                 RefusalReason::StaleService,
-                ask.pipeline.as_str(),
+                info.pipeline.as_str(),
                 now,
             ));
         };
-        let priority = self.priority(ask);
-        let deadline = self.clock.to_micros(ask.deadline);
+        let priority = self.priority(info);
+        let deadline = self.clock.to_micros(info.deadline);
         let request =
-            SlotRequest { priority, customer: &ask.customer, deadline, expected: 0, margin: 0 };
+            SlotRequest { priority, customer: &info.customer, deadline, expected: 0, margin: 0 };
         let last = stages.last().map(|it| Arc::clone(&it.pool));
         let margin = margin_deviations(&table.policy, priority);
         if let Some(pool) = &last
@@ -161,20 +161,20 @@
         }
         if self.rules.pipeline
             && let mut later = stages.iter().skip(1)
-            && let Some(stage) = later.find(|it| it.pool.is_full(priority, &ask.customer))
+            && let Some(stage) = later.find(|it| it.pool.is_full(priority, &info.customer))
         {
             return Err(stage.pool.refuse(RefusalReason::QueueFull, priority, now));
         }
-        let account = table.customers.get(&ask.customer).cloned();
+        let account = table.customers.get(&info.customer).cloned();
         if let Some(account) = &account
             && let Err(exceeded) = account.admit(self.entries(), now)
         {
-            return Err(self.refuse_customer(account, exceeded, ask.customer.as_str(), now));
+            return Err(self.refuse_customer(account, exceeded, info.customer.as_str(), now));
         }
         if let Some(pool) = &last {
-            pool.lock().request_started(pool, priority, &ask.customer);
+            pool.lock().request_started(pool, priority, &info.customer);
         }
-        Ok(Admission { account, last, priority, customer: ask.customer.clone() })
+        Ok(Admission { account, last, priority, customer: info.customer.clone() })
     }
 
     /// Charges a customer for generated tokens, whether they were delivered or not.
@@ -187,24 +187,24 @@
 
     /// Returns when stage `index` of the request must have ended, so that the later stages have
     /// enough time.
-    pub fn stage_deadline(&self, ask: &Ask, index: usize, now: Instant) -> Instant {
+    pub fn stage_deadline(&self, info: &Ask, index: usize, now: Instant) -> Instant {
         let now = self.clock.observe(now);
         let table = self.table.load();
-        let Some(stages) = table.pipelines.get(&ask.pipeline) else {
-            return ask.deadline;
+        let Some(stages) = table.pipelines.get(&info.pipeline) else {
+            return info.deadline;
         };
-        let deadline = self.clock.to_micros(ask.deadline);
-        let margin = margin_deviations(&table.policy, ask.priority.0);
+        let deadline = self.clock.to_micros(info.deadline);
+        let margin = margin_deviations(&table.policy, info.priority.0);
         let end = stage_end(stages, index, deadline, margin, now);
-        self.clock.to_instant(end).unwrap_or(ask.deadline).min(ask.deadline)
+        self.clock.to_instant(end).unwrap_or(info.deadline).min(info.deadline)
     }
 
     /// Records how long stage `index` took, from the granted slot to the last byte, retries
     /// included.
-    pub fn stage_ended(&self, ask: &Ask, index: usize, took: Duration, now: Instant) {
+    pub fn stage_ended(&self, info: &Ask, index: usize, took: Duration, now: Instant) {
         let now = self.clock.observe(now);
         let table = self.table.load();
-        let stage = table.pipelines.get(&ask.pipeline).and_then(|it| it.get(index));
+        let stage = table.pipelines.get(&info.pipeline).and_then(|it| it.get(index));
         if let Some(stage) = stage {
             let took = took.as_micros() as f64;
             stage.total.record(took, stage.expected, now);
@@ -213,7 +213,7 @@
     }
 
     /// Requests a slot in a pool.
-    pub fn enter(&self, pool: &PoolName, ask: &Ask, by: Instant, now: Instant) -> Turn {
+    pub fn enter(&self, pool: &PoolName, info: &Ask, by: Instant, now: Instant) -> Turn {
         let now = self.clock.observe(now);
         let table = self.table.load();
         let Some(state) = table.pools.get(pool).map(|it| &it.state) else {
@@ -224,17 +224,21 @@
             ));
         };
         if state.limit.load(Ordering::Relaxed) == 0 {
-            return Turn::Refused(state.refuse(RefusalReason::NoUpstream, self.priority(ask), now));
+            return Turn::Refused(state.refuse(
+                RefusalReason::NoUpstream,
+                self.priority(info),
+                now,
+            ));
         }
-        let stages = table.pipelines.get(&ask.pipeline).into_iter().flatten();
+        let stages = table.pipelines.get(&info.pipeline).into_iter().flatten();
         let stage = stages.into_iter().find(|it| Arc::ptr_eq(&it.pool, state));
-        let priority = self.priority(ask);
+        let priority = self.priority(info);
         let (time, deviation) = stage.map_or_else(|| state.time(now), |it| it.time(now));
         let (expected, margin) =
             (time as Micros, (margin_deviations(&table.policy, priority) * deviation) as Micros);
         let deadline = self.clock.to_micros(by);
         state.request_slot(
-            &SlotRequest { priority, customer: &ask.customer, deadline, expected, margin },
+            &SlotRequest { priority, customer: &info.customer, deadline, expected, margin },
             now,
         )
     }
@@ -244,21 +248,21 @@
     /// Returns the refusal if no upstream of the pool accepts new work.
     pub fn pick(
         &self,
-        ask: &PickAsk<'_>,
+        request: &PickAsk<'_>,
         now: Instant,
         rng: &mut impl rand::Rng,
     ) -> Result<Pick, Refusal> {
         let now = self.clock.observe(now);
         let table = self.table.load();
-        let Some(pool) = table.pools.get(ask.pool) else {
-            return Err(self.refuse_unknown(RefusalReason::NoUpstream, ask.pool.as_str(), now));
+        let Some(pool) = table.pools.get(request.pool) else {
+            return Err(self.refuse_unknown(RefusalReason::NoUpstream, request.pool.as_str(), now));
         };
         let state = &pool.state;
-        if ask.exclude.is_empty() {
+        if request.exclude.is_empty() {
             let cap = budget_cap(state.limit.load(Ordering::Relaxed));
             state.budget.earn(table.policy.retries, cap);
         }
-        let choice = Choice::new(pool, ask, self.view(&table, now), now);
+        let choice = Choice::new(pool, request, self.view(&table, now), now);
         choice
             .choose(rng)
             .ok_or_else(|| state.refuse(RefusalReason::NoUpstream, LOWEST_PRIORITY, now))
@@ -344,9 +348,9 @@
         }
     }
 
-    fn priority(&self, ask: &Ask) -> u8 {
+    fn priority(&self, info: &Ask) -> u8 {
         let lowest = Priority::COUNT as u8 - 1;
-        if self.rules.priority { ask.priority.0.min(lowest) } else { lowest }
+        if self.rules.priority { info.priority.0.min(lowest) } else { lowest }
     }
 
     fn spend_budget(
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -41,11 +41,11 @@
 #[test]
 fn higher_priority_starts_before_lower_that_came_first() {
     let bench = Bench::writers(1, 1);
-    let running = expect_granted(bench.enter("desk", 3, ms(5_000)));
+    let running = expect_granted(bench.slot("desk", 3, ms(5_000)));
     let mut queued = [
-        expect_queued(bench.enter("desk", 3, ms(5_000))),
-        expect_queued(bench.enter("desk", 3, ms(4_000))),
-        expect_queued(bench.enter("desk", 0, ms(6_000))),
+        expect_queued(bench.slot("desk", 3, ms(5_000))),
+        expect_queued(bench.slot("desk", 3, ms(4_000))),
+        expect_queued(bench.slot("desk", 0, ms(6_000))),
     ];
     drop(running);
     let (first, slot) = started(&mut queued).expect("a start");
@@ -60,10 +60,10 @@
 #[test]
 fn customers_of_one_priority_take_turns() {
     let bench = Bench::writers(1, 1);
-    let mut running = expect_granted(bench.enter("yard", 3, ms(5_000)));
+    let mut running = expect_granted(bench.slot("yard", 3, ms(5_000)));
     let mut queued: Vec<_> =
-        (0..6).map(|_| expect_queued(bench.enter("yard", 3, ms(4_000)))).collect();
-    queued.push(expect_queued(bench.enter("studio", 3, ms(6_000))));
+        (0..6).map(|_| expect_queued(bench.slot("yard", 3, ms(4_000)))).collect();
+    queued.push(expect_queued(bench.slot("studio", 3, ms(6_000))));
     let mut turn = None;
     for at in 0..3 {
         drop(running);
@@ -83,8 +83,8 @@
 #[test]
 fn queued_call_leaves_once_its_time_no_longer_suffices() {
     let mut bench = Bench::writers(1, 1);
-    let _running = expect_granted(bench.enter("desk", 3, ms(5_000)));
-    let mut queued = expect_queued(bench.enter("yard", 0, ms(700)));
+    let _running = expect_granted(bench.slot("desk", 3, ms(5_000)));
+    let mut queued = expect_queued(bench.slot("yard", 0, ms(700)));
     bench.pass(ms(400));
     assert!(queued.try_recv().is_err(), "300 ms are left for 200 ms of work");
     bench.pass(ms(150));
@@ -97,12 +97,12 @@
 #[test]
 fn higher_priority_displaces_the_lowest() {
     let bench = Bench::writers(1, 1);
-    let _running = expect_granted(bench.enter("desk", 3, ms(60_000)));
+    let _running = expect_granted(bench.slot("desk", 3, ms(60_000)));
     let mut queued: Vec<_> =
-        (0..8).map(|_| expect_queued(bench.enter("desk", 3, ms(60_000)))).collect();
-    let full = expect_refused(bench.enter("desk", 3, ms(60_000)));
+        (0..8).map(|_| expect_queued(bench.slot("desk", 3, ms(60_000)))).collect();
+    let full = expect_refused(bench.slot("desk", 3, ms(60_000)));
     assert_eq!(full.reason, RefusalReason::QueueFull);
-    let _higher = expect_queued(bench.enter("desk", 0, ms(60_000)));
+    let _higher = expect_queued(bench.slot("desk", 0, ms(60_000)));
     let out: Vec<_> = queued.iter_mut().filter_map(|it| it.try_recv().ok()).collect();
     let [Err(refusal)] = out.as_slice() else { panic!("expected one refusal, got {out:?}") };
     assert_eq!(refusal.reason, RefusalReason::Displaced);
@@ -113,10 +113,10 @@
 #[test]
 fn light_customer_displaces_the_longest_queue() {
     let bench = Bench::writers(1, 1);
-    let _running = expect_granted(bench.enter("yard", 3, ms(60_000)));
+    let _running = expect_granted(bench.slot("yard", 3, ms(60_000)));
     let mut queued: Vec<_> =
-        (0..8).map(|_| expect_queued(bench.enter("yard", 3, ms(60_000)))).collect();
-    let _light = expect_queued(bench.enter("studio", 3, ms(60_000)));
+        (0..8).map(|_| expect_queued(bench.slot("yard", 3, ms(60_000)))).collect();
+    let _light = expect_queued(bench.slot("studio", 3, ms(60_000)));
     assert_eq!(queued.iter_mut().filter_map(|it| it.try_recv().ok()).count(), 1);
 }
 
@@ -126,15 +126,23 @@
 fn request_that_would_fail_at_a_later_stage_is_refused_at_once() {
     let bench = Bench::writers(1, 1);
     let admitted: Vec<_> = (0..9)
-        .map(|_| bench.router.admit(&bench.ask("desk", 3, ms(7_000)), bench.now).expect("admitted"))
+        .map(|_| {
+            bench.router.admit(&bench.request("desk", 3, ms(7_000)), bench.now).expect("admitted")
+        })
         .collect();
-    let refusal = bench.router.admit(&bench.ask("desk", 3, ms(1_000)), bench.now);
+    let refusal = bench.router.admit(&bench.request("desk", 3, ms(1_000)), bench.now);
     let refusal = refusal.expect_err("nine calls of 200 ms are ahead");
     assert_eq!(refusal.reason, RefusalReason::DeadlineTooShort);
-    bench.router.admit(&bench.ask("yard", 0, ms(1_000)), bench.now).expect("nothing is ahead");
-    bench.router.admit(&bench.ask("studio", 3, ms(1_000)), bench.now).expect("its customer's turn");
+    bench.router.admit(&bench.request("yard", 0, ms(1_000)), bench.now).expect("nothing is ahead");
+    bench
+        .router
+        .admit(&bench.request("studio", 3, ms(1_000)), bench.now)
+        .expect("its customer's turn");
     drop(admitted);
-    bench.router.admit(&bench.ask("desk", 3, ms(1_000)), bench.now).expect("the backlog is gone");
+    bench
+        .router
+        .admit(&bench.request("desk", 3, ms(1_000)), bench.now)
+        .expect("the backlog is gone");
 }
 
 // Guards against pipelines that need only retrieval and are refused during a burst of generation.
@@ -143,14 +151,16 @@
 fn burst_of_generation_leaves_retrieval_alone() {
     let bench = Bench::writers(1, 1);
     let _admitted: Vec<_> = (0..30)
-        .map(|_| bench.router.admit(&bench.ask("desk", 3, ms(9_000)), bench.now).expect("admitted"))
+        .map(|_| {
+            bench.router.admit(&bench.request("desk", 3, ms(9_000)), bench.now).expect("admitted")
+        })
         .collect();
-    let _running = expect_granted(bench.enter("desk", 3, ms(9_000)));
-    let _queued: Vec<_> = (0..8).map(|_| bench.enter("desk", 3, ms(9_000))).collect();
-    let mut ask = bench.ask("studio", 5, ms(200));
-    ask.pipeline = name("search");
-    bench.router.admit(&ask, bench.now).expect("retrieval is free");
-    expect_granted(bench.router.enter(&name("find"), &ask, ask.deadline, bench.now));
+    let _running = expect_granted(bench.slot("desk", 3, ms(9_000)));
+    let _queued: Vec<_> = (0..8).map(|_| bench.slot("desk", 3, ms(9_000))).collect();
+    let mut info = bench.request("studio", 5, ms(200));
+    info.pipeline = name("search");
+    bench.router.admit(&info, bench.now).expect("retrieval is free");
+    expect_granted(bench.router.enter(&name("find"), &info, info.deadline, bench.now));
 }
 
 // Guards against refused callers that all retry at once, again and again, so that the overload
@@ -158,9 +168,9 @@
 #[test]
 fn time_to_retry_grows_with_the_overload_and_is_spread() {
     let bench = Bench::writers(1, 1);
-    let _running = expect_granted(bench.enter("desk", 3, ms(60_000)));
+    let _running = expect_granted(bench.slot("desk", 3, ms(60_000)));
     let times: Vec<_> =
-        (0..200).map(|_| expect_refused(bench.enter("desk", 3, ms(100))).retry_after).collect();
+        (0..200).map(|_| expect_refused(bench.slot("desk", 3, ms(100))).retry_after).collect();
     let mean = |part: &[std::time::Duration]| part.iter().sum::<std::time::Duration>() / 20;
     assert!(mean(&times[180..]) > 4 * mean(&times[..20]), "{times:?}");
     let distinct: std::collections::BTreeSet<_> = times[180..].iter().collect();
@@ -193,7 +203,7 @@
             let loads: Vec<_> =
                 (0..4).map(|it| load(&format!("write-{it:03}"), case.others / 4)).collect();
             bench.digest(4, &loads);
-            while let Turn::Go(slot) = bench.enter("desk", 3, ms(5_000)) {
+            while let Turn::Go(slot) = bench.slot("desk", 3, ms(5_000)) {
                 running.push(slot);
             }
             bench.pass(ms(50));
@@ -207,13 +217,13 @@
 #[test]
 fn slot_of_a_caller_that_is_gone_goes_to_the_next() {
     let bench = Bench::writers(1, 1);
-    let running = expect_granted(bench.enter("desk", 3, ms(5_000)));
-    drop(expect_queued(bench.enter("desk", 3, ms(4_000))));
-    let mut second = expect_queued(bench.enter("desk", 3, ms(5_000)));
+    let running = expect_granted(bench.slot("desk", 3, ms(5_000)));
+    drop(expect_queued(bench.slot("desk", 3, ms(4_000))));
+    let mut second = expect_queued(bench.slot("desk", 3, ms(5_000)));
     drop(running);
     let slot = second.try_recv().expect("an answer").expect("a slot");
     drop(slot);
-    expect_granted(bench.enter("desk", 3, ms(5_000)));
+    expect_granted(bench.slot("desk", 3, ms(5_000)));
 }
 
 // Guards against an idle pool that refuses everything for good: a few calls took longer than the
@@ -223,14 +233,14 @@
 fn idle_pool_takes_a_call_whatever_the_estimate_says() {
     let mut bench = Bench::writers(1, 1);
     bench.calls(20, |_| ms(60_000));
-    let ask = bench.ask("desk", 3, ms(5_000));
-    let admission = bench.router.admit(&ask, bench.now).expect("nothing is under way");
-    let slot = expect_granted(bench.enter("desk", 3, ms(5_000)));
+    let info = bench.request("desk", 3, ms(5_000));
+    let admission = bench.router.admit(&info, bench.now).expect("nothing is admitted");
+    let slot = expect_granted(bench.slot("desk", 3, ms(5_000)));
     assert_eq!(
-        expect_refused(bench.enter("desk", 3, ms(5_000))).reason,
+        expect_refused(bench.slot("desk", 3, ms(5_000))).reason,
         RefusalReason::DeadlineTooShort
     );
-    bench.router.admit(&ask, bench.now).expect_err("one is under way");
+    bench.router.admit(&info, bench.now).expect_err("one is admitted");
     drop((admission, slot));
 }
 
@@ -249,17 +259,17 @@
         Case { name: "too little: by parts", left: 110, first: 9..=11 },
     ];
     let mut bench = Bench::writers(2, 10);
-    let ask = bench.ask("yard", 0, ms(9_000));
+    let info = bench.request("yard", 0, ms(9_000));
     for _ in 0..100 {
         bench.pass(ms(1));
-        bench.router.stage_ended(&ask, 0, ms(20), bench.now);
-        bench.router.stage_ended(&ask, 1, ms(200), bench.now);
+        bench.router.stage_ended(&info, 0, ms(20), bench.now);
+        bench.router.stage_ended(&info, 1, ms(200), bench.now);
     }
     for case in cases {
-        let ask = bench.ask("yard", 0, ms(case.left));
-        let first = bench.router.stage_deadline(&ask, 0, bench.now) - bench.now;
+        let info = bench.request("yard", 0, ms(case.left));
+        let first = bench.router.stage_deadline(&info, 0, bench.now) - bench.now;
         assert!(case.first.contains(&first.as_millis()), "{}: {first:?}", case.name);
-        assert_eq!(bench.router.stage_deadline(&ask, 1, bench.now), ask.deadline);
+        assert_eq!(bench.router.stage_deadline(&info, 1, bench.now), info.deadline);
     }
 }
 
@@ -272,7 +282,7 @@
     let running = std::sync::atomic::AtomicUsize::new(0);
     let work = |customer: &str| {
         for _ in 0..2_000 {
-            let slot = match bench.enter(customer, 3, ms(3_600_000)) {
+            let slot = match bench.slot(customer, 3, ms(3_600_000)) {
                 Turn::Go(slot) => slot,
                 Turn::Wait(queued) => queued.blocking_recv().expect("an answer").expect("a slot"),
                 Turn::Refused(refusal) => panic!("the queue holds eight calls: {refusal}"),
@@ -299,10 +309,10 @@
     let loads: Vec<_> = (0..4).map(|it| load(&format!("write-{it:03}"), 12)).collect();
     bench.digest(4, &loads);
     let mut running: Vec<_> =
-        (0..13).map(|_| expect_granted(bench.enter("desk", 3, ms(9_000)))).collect();
-    let _lower = expect_queued(bench.enter("desk", 3, ms(9_000)));
-    running.extend((0..10).map(|_| expect_granted(bench.enter("yard", 0, ms(9_000)))));
-    let _no_more = expect_queued(bench.enter("yard", 0, ms(9_000)));
+        (0..13).map(|_| expect_granted(bench.slot("desk", 3, ms(9_000)))).collect();
+    let _lower = expect_queued(bench.slot("desk", 3, ms(9_000)));
+    running.extend((0..10).map(|_| expect_granted(bench.slot("yard", 0, ms(9_000)))));
+    let _no_more = expect_queued(bench.slot("yard", 0, ms(9_000)));
 }
 
 // Guards against short stages that are refused with `deadline-too-short` on idle upstreams after a
@@ -316,8 +326,8 @@
     let long = Pipeline { stages: vec![stage("write", 2_000)], ..Pipeline::default() };
     service.pipelines.insert(name("long"), long);
     let mut bench = Bench::open(service);
-    let mut short = bench.ask("desk", 3, ms(1_000));
-    let mut long = bench.ask("yard", 4, ms(9_000));
+    let mut short = bench.request("desk", 3, ms(1_000));
+    let mut long = bench.request("yard", 4, ms(9_000));
     long.pipeline = name("long");
     for _ in 0..30 {
         bench.router.stage_ended(&short, 1, ms(1_500), bench.now);
@@ -327,7 +337,7 @@
         bench.router.stage_ended(&long, 0, ms(2_000), bench.now);
         bench.pass(ms(200));
     }
-    let _running = expect_granted(bench.enter("yard", 4, ms(9_000)));
+    let _running = expect_granted(bench.slot("yard", 4, ms(9_000)));
     long.deadline = bench.now + ms(9_000);
     let _admitted = bench.router.admit(&long, bench.now).expect("admitted");
     short.deadline = bench.now + ms(800);
@@ -357,11 +367,11 @@
         let busy = |it| load(&format!("write-{it:03}"), case.slots);
         let loads: Vec<_> = (0..case.replicas).map(busy).collect();
         bench.digest(6, &loads);
-        let turns = std::iter::from_fn(|| match bench.enter("desk", 3, ms(5_000)) {
+        let slots = std::iter::from_fn(|| match bench.slot("desk", 3, ms(5_000)) {
             Turn::Go(slot) => Some(slot),
             _ => None,
         });
-        assert_eq!(turns.collect::<Vec<_>>().len(), case.starts, "{}", case.name);
+        assert_eq!(slots.collect::<Vec<_>>().len(), case.starts, "{}", case.name);
     }
 }
 
@@ -370,13 +380,13 @@
 #[test]
 fn full_queue_of_a_later_stage_refuses_at_admission() {
     let bench = Bench::writers(1, 1);
-    let _running = expect_granted(bench.enter("desk", 3, ms(60_000)));
+    let _running = expect_granted(bench.slot("desk", 3, ms(60_000)));
     let _queued: Vec<_> =
-        (0..8).map(|_| expect_queued(bench.enter("desk", 3, ms(60_000)))).collect();
-    let refusal = bench.router.admit(&bench.ask("desk", 3, ms(60_000)), bench.now);
+        (0..8).map(|_| expect_queued(bench.slot("desk", 3, ms(60_000)))).collect();
+    let refusal = bench.router.admit(&bench.request("desk", 3, ms(60_000)), bench.now);
     assert_eq!(refusal.expect_err("the later queue is full").reason, RefusalReason::QueueFull);
     for (customer, priority) in [("yard", 0), ("yard", 2), ("studio", 3)] {
-        let other = bench.router.admit(&bench.ask(customer, priority, ms(60_000)), bench.now);
+        let other = bench.router.admit(&bench.request(customer, priority, ms(60_000)), bench.now);
         assert!(other.is_ok(), "{customer}, priority {priority}, displaces: {other:?}");
     }
 }
@@ -387,10 +397,10 @@
 #[test]
 fn refused_callers_of_lower_priority_are_not_ahead_of_a_higher_one() {
     let bench = Bench::writers(1, 1);
-    let _running = expect_granted(bench.enter("desk", 3, ms(60_000)));
-    let low = (0..100).map(|_| expect_refused(bench.enter("desk", 3, ms(100))).retry_after);
+    let _running = expect_granted(bench.slot("desk", 3, ms(60_000)));
+    let low = (0..100).map(|_| expect_refused(bench.slot("desk", 3, ms(100))).retry_after);
     let low = low.last().expect("a refusal");
-    let high = expect_refused(bench.enter("yard", 0, ms(100))).retry_after;
+    let high = expect_refused(bench.slot("yard", 0, ms(100))).retry_after;
     assert!(high < ms(400), "one call of 200 ms at most is ahead: {high:?}");
     assert!(low > ms(5_000), "a hundred calls are ahead: {low:?}");
 }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -118,7 +118,7 @@
         self.router.digest(&digest, self.now);
     }
 
-    pub(crate) fn ask(&self, customer: &str, priority: u8, left: Duration) -> Ask {
+    pub(crate) fn request(&self, customer: &str, priority: u8, left: Duration) -> Ask {
         Ask {
             customer: name(customer),
             pipeline: name("answer"),
@@ -128,9 +128,9 @@
         }
     }
 
-    pub(crate) fn enter(&self, customer: &str, priority: u8, left: Duration) -> routing::Turn {
-        let ask = self.ask(customer, priority, left);
-        self.router.enter(&name("write"), &ask, ask.deadline, self.now)
+    pub(crate) fn slot(&self, customer: &str, priority: u8, left: Duration) -> routing::Turn {
+        let info = self.request(customer, priority, left);
+        self.router.enter(&name("write"), &info, info.deadline, self.now)
     }
 
     pub(crate) fn pick(&mut self, exclude: &[UpstreamName]) -> Result<Pick, Refusal> {
@@ -143,8 +143,8 @@
         exclude: &[UpstreamName],
     ) -> Result<Pick, Refusal> {
         let pool: PoolName = name("write");
-        let ask = PickAsk { pool: &pool, prefix, exclude, left: ms(5_000) };
-        self.router.pick(&ask, self.now, &mut self.rng)
+        let request = PickAsk { pool: &pool, prefix, exclude, left: ms(5_000) };
+        self.router.pick(&request, self.now, &mut self.rng)
     }
 
     /// Ends a call successfully after the time `took`.
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -144,8 +144,10 @@
     assert_eq!(refusal.reason, RefusalReason::NoUpstream);
     bench.digest(1, &[leaving("write-001")]);
     bench.pick(&[]).expect_err("both are leaving");
-    let turn = bench.enter("yard", 0, ms(5_000));
-    assert!(matches!(turn, routing::Turn::Refused(it) if it.reason == RefusalReason::NoUpstream));
+    let response = bench.slot("yard", 0, ms(5_000));
+    assert!(
+        matches!(response, routing::Turn::Refused(it) if it.reason == RefusalReason::NoUpstream)
+    );
 }
 
 // Guards against retries that keep a failing pool down: every new call asks for a retry. Retries
@@ -196,8 +198,9 @@
             bench.calls(1, |_| ms(80 + turn % 160));
         }
         let pool = name("write");
-        let ask = routing::PickAsk { pool: &pool, prefix: None, exclude: &[], left: ms(case.left) };
-        let pick = bench.router.pick(&ask, bench.now, &mut bench.rng).expect("an upstream");
+        let request =
+            routing::PickAsk { pool: &pool, prefix: None, exclude: &[], left: ms(case.left) };
+        let pick = bench.router.pick(&request, bench.now, &mut bench.rng).expect("an upstream");
         assert_eq!(pick.hedge_after.is_some(), case.offered, "{}", case.name);
         if let Some(after) = pick.hedge_after {
             assert!((ms(50)..ms(70)).contains(&after), "{after:?}");
@@ -213,7 +216,7 @@
     let mut bench = Bench::writers(4, 10);
     calls(&mut bench, 40, &["write-001"], CallEnd::Refused);
     for _ in 0..5_000 {
-        drop(bench.enter("desk", 3, ms(0)));
+        drop(bench.slot("desk", 3, ms(0)));
     }
     let decisions = bench.router.decisions();
     assert_eq!((decisions[0].what, decisions[0].subject.as_str()), ("refuse", "write"));
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -9,7 +9,7 @@
 fn burst(bench: &Bench) -> (Vec<routing::Admission>, RefusalReason) {
     let mut admitted = Vec::new();
     loop {
-        match bench.router.admit(&bench.ask("yard", 0, ms(60_000)), bench.now) {
+        match bench.router.admit(&bench.request("yard", 0, ms(60_000)), bench.now) {
             Ok(admission) => admitted.push(admission),
             Err(refusal) => return (admitted, refusal.reason),
         }
@@ -93,14 +93,14 @@
     let mut bench = Bench::writers(1, 1_000);
     let tokens = Some(Rate(1_000.0));
     bench.limits("yard", CustomerLimits { tokens, ..CustomerLimits::default() });
-    let ask = |bench: &Bench| bench.router.admit(&bench.ask("yard", 0, ms(5_000)), bench.now);
-    drop(ask(&bench).expect("no debt"));
+    let admit = |bench: &Bench| bench.router.admit(&bench.request("yard", 0, ms(5_000)), bench.now);
+    drop(admit(&bench).expect("no debt"));
     bench.router.charge(&name("yard"), Tokens(5_000), bench.now);
-    let refusal = ask(&bench).expect_err("five seconds' worth");
+    let refusal = admit(&bench).expect_err("five seconds' worth");
     assert_eq!(refusal.reason, RefusalReason::CustomerTokens);
     assert!(refusal.retry_after > ms(1_500), "{refusal}");
     bench.pass(ms(4_100));
-    drop(ask(&bench).expect("the debt is down to a second's worth"));
+    drop(admit(&bench).expect("the debt is down to a second's worth"));
 }
 
 // Guards against refusals of one customer that make another one wait for minutes: one is refused
@@ -113,9 +113,9 @@
         bench.limits(customer, limits.clone());
         bench.router.shares(&name(customer), &limits);
     }
-    let ask = |who: &str| bench.router.admit(&bench.ask(who, 0, ms(5_000)), bench.now);
-    (0..300).for_each(|_| drop(ask("yard")));
-    let heavy = ask("yard").expect_err("over").retry_after;
-    let light = ask("studio").expect_err("over").retry_after;
+    let admit = |who: &str| bench.router.admit(&bench.request(who, 0, ms(5_000)), bench.now);
+    (0..300).for_each(|_| drop(admit("yard")));
+    let heavy = admit("yard").expect_err("over").retry_after;
+    let light = admit("studio").expect_err("over").retry_after;
     assert!(heavy > 10 * light, "{heavy:?} and {light:?}");
 }
