--- a/crates/gateway/src/batch/client.rs
+++ b/crates/gateway/src/batch/client.rs
@@ -188,10 +188,10 @@
         for (section, handles) in by_section {
             let message = ToOwner::Free(handles);
             match self.owner_of(&section, false) {
-                Some(address) if address != self.own_address => self.link(address).tell(message),
+                Some(address) if address != self.own_address => self.link(address).send(message),
                 _ => {
                     let (replies, _) = mpsc::unbounded_channel();
-                    self.owner.tell(OwnerEvent::Message(LOCAL_ORIGIN, message, replies));
+                    self.owner.send(OwnerEvent::Message(LOCAL_ORIGIN, message, replies));
                 }
             }
         }
@@ -261,7 +261,7 @@
             let peers = self.shared.peers();
             let addresses = peers.iter().map(|it| it.address);
             for address in addresses.sample(&mut rand::rng(), NEWS_PEERS) {
-                self.link(address).tell(ToOwner::SubscribeNews);
+                self.link(address).send(ToOwner::SubscribeNews);
             }
         }
     }
@@ -298,7 +298,7 @@
         let (replies, mut answers) = mpsc::unbounded_channel();
         if address == self.own_address {
             let _guard = LocalJob { owner: &self.owner, id };
-            self.owner.tell(OwnerEvent::Message(LOCAL_ORIGIN, message, replies));
+            self.owner.send(OwnerEvent::Message(LOCAL_ORIGIN, message, replies));
             while let Some(answer) = answers.recv().await {
                 if let Some(ended) = progress.handle_answer(answer) {
                     return ended;
@@ -312,7 +312,7 @@
         if !link.register(id, replies) {
             return lost();
         }
-        link.tell(message);
+        link.send(message);
         let mut by = Instant::now() + ACCEPT_TIMEOUT;
         let mut accepted = false;
         loop {
--- a/crates/gateway/src/batch/client/job.rs
+++ b/crates/gateway/src/batch/client/job.rs
@@ -116,7 +116,7 @@
 impl Drop for LocalJob<'_> {
     fn drop(&mut self) {
         let (replies, _) = mpsc::unbounded_channel();
-        self.owner.tell(OwnerEvent::Message(LOCAL_ORIGIN, ToOwner::Cancel(self.id), replies));
+        self.owner.send(OwnerEvent::Message(LOCAL_ORIGIN, ToOwner::Cancel(self.id), replies));
     }
 }
 
@@ -129,6 +129,6 @@
 impl Drop for RemoteJob<'_> {
     fn drop(&mut self) {
         self.link.forget(self.id);
-        self.link.tell(ToOwner::Cancel(self.id));
+        self.link.send(ToOwner::Cancel(self.id));
     }
 }
--- a/crates/gateway/src/batch/link.rs
+++ b/crates/gateway/src/batch/link.rs
@@ -76,7 +76,7 @@
     }
 
     /// Sends a message to the owner. It is lost if the connection has ended.
-    pub(crate) fn tell(&self, message: ToOwner) {
+    pub(crate) fn send(&self, message: ToOwner) {
         // If the connection has ended, `is_ended` shows it.
         let _ = self.sender.send(message);
     }
@@ -113,10 +113,10 @@
                 self.sinks.backlogs.set(section, backlog);
                 return;
             }
-            FromOwner::SectionBacklog(news) => {
-                let domain = news.domain.as_deref().map(Into::into);
-                let section = Section { service: news.service.as_str().into(), domain };
-                self.sinks.backlogs.set(section, news.backlog);
+            FromOwner::SectionBacklog(it) => {
+                let domain = it.domain.as_deref().map(Into::into);
+                let section = Section { service: it.service.as_str().into(), domain };
+                self.sinks.backlogs.set(section, it.backlog);
                 return;
             }
             FromOwner::News(relay) => {
@@ -218,7 +218,7 @@
                             continue;
                         }
                     }
-                    owner.tell(OwnerEvent::Message(origin, message, replies.clone()));
+                    owner.send(OwnerEvent::Message(origin, message, replies.clone()));
                     continue;
                 }
                 Ok(None) | Err(_) => break,
@@ -252,7 +252,7 @@
             break;
         }
     }
-    owner.tell(OwnerEvent::Disconnected(origin));
+    owner.send(OwnerEvent::Disconnected(origin));
 }
 
 /// The registry's news that is sent to one submitter.
--- a/crates/gateway/src/batch/message.rs
+++ b/crates/gateway/src/batch/message.rs
@@ -143,8 +143,8 @@
     /// that knows no sections only reads the waits of whole services.
     pub(crate) fn at_level(self, level: u8) -> Option<Self> {
         match self {
-            Self::SectionBacklog(news) if level < LEVEL_SECTIONS => {
-                news.domain.is_none().then_some(Self::Backlog(news.service, news.backlog.waits))
+            Self::SectionBacklog(it) if level < LEVEL_SECTIONS => {
+                it.domain.is_none().then_some(Self::Backlog(it.service, it.backlog.waits))
             }
             message => Some(message),
         }
--- a/crates/gateway/src/batch/message/tests.rs
+++ b/crates/gateway/src/batch/message/tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn news(domain: Option<&str>) -> FromOwner {
+fn backlog(domain: Option<&str>) -> FromOwner {
     FromOwner::SectionBacklog(SectionBacklog {
         service: "s".to_owned(),
         domain: domain.map(str::to_owned),
@@ -33,26 +33,26 @@
     name: &'static str,
     domain: Option<&'static str>,
     level: u8,
-    told: &'static str,
+    sent: &'static str,
 }
 
 const JOBS: &[JobCase] = &[
-    JobCase { name: "split, first release", domain: Some("d"), level: 0, told: "job" },
-    JobCase { name: "split, sections", domain: Some("d"), level: LEVEL_SECTIONS, told: "job in d" },
-    JobCase { name: "whole, sections", domain: None, level: LEVEL_SECTIONS, told: "job" },
+    JobCase { name: "split, first release", domain: Some("d"), level: 0, sent: "job" },
+    JobCase { name: "split, sections", domain: Some("d"), level: LEVEL_SECTIONS, sent: "job in d" },
+    JobCase { name: "whole, sections", domain: None, level: LEVEL_SECTIONS, sent: "job" },
     JobCase {
         name: "split",
         domain: Some("d"),
         level: LEVEL_REQUESTS,
-        told: "job of a request in d",
+        sent: "job of a request in d",
     },
-    JobCase { name: "whole", domain: None, level: LEVEL_REQUESTS, told: "job of a request" },
+    JobCase { name: "whole", domain: None, level: LEVEL_REQUESTS, sent: "job of a request" },
 ];
 
 /// An owner of an earlier release that gets a message which it can't read ends the connection.
 #[test]
-fn jobs_are_told_as_their_owner_can_read_them() {
-    for JobCase { name, domain, level, told } in JOBS {
+fn jobs_are_sent_as_their_owner_can_read_them() {
+    for JobCase { name, domain, level, sent } in JOBS {
         let domain = domain.map(str::to_owned);
         let submission = Submission { domain, digest: RequestDigest::default(), job: job() };
         let (text, job) = match ToOwner::SubmitWithDigest(submission).at_level(*level) {
@@ -64,7 +64,7 @@
             }
             other => panic!("{name}: {other:?}"),
         };
-        assert_eq!((text.as_str(), job.id), (*told, 7), "{name}");
+        assert_eq!((text.as_str(), job.id), (*sent, 7), "{name}");
     }
 }
 
@@ -72,37 +72,37 @@
     name: &'static str,
     domain: Option<&'static str>,
     level: u8,
-    told: Told,
+    sent: Sent,
 }
 
 #[derive(Debug, PartialEq)]
-enum Told {
+enum Sent {
     Nothing,
     Waits,
-    News,
+    SectionBacklog,
 }
 
 const CASES: &[Case] = &[
-    Case { name: "whole, to the release before", domain: None, level: 0, told: Told::Waits },
-    Case { name: "split, to the release before", domain: Some("d"), level: 0, told: Told::Nothing },
-    Case { name: "whole", domain: None, level: LEVEL_SECTIONS, told: Told::News },
-    Case { name: "split", domain: Some("d"), level: LEVEL_SECTIONS, told: Told::News },
+    Case { name: "whole, to the release before", domain: None, level: 0, sent: Sent::Waits },
+    Case { name: "split, to the release before", domain: Some("d"), level: 0, sent: Sent::Nothing },
+    Case { name: "whole", domain: None, level: LEVEL_SECTIONS, sent: Sent::SectionBacklog },
+    Case { name: "split", domain: Some("d"), level: LEVEL_SECTIONS, sent: Sent::SectionBacklog },
 ];
 
 /// Guards against entries that end each other's connections again and again in a rolling upgrade:
 /// an owner of this release sends its waits to an entry of the release before, which can't read the
 /// message and ends the connection.
 #[test]
-fn news_of_sections_go_to_who_can_read_them() {
+fn backlogs_of_sections_are_sent_as_entries_can_read_them() {
     for case in CASES {
-        let told = match news(case.domain).at_level(case.level) {
-            None => Told::Nothing,
+        let sent = match backlog(case.domain).at_level(case.level) {
+            None => Sent::Nothing,
             Some(FromOwner::Backlog(service, waits)) if service == "s" && waits[0] == 5 => {
-                Told::Waits
+                Sent::Waits
             }
-            Some(FromOwner::SectionBacklog(_)) => Told::News,
+            Some(FromOwner::SectionBacklog(_)) => Sent::SectionBacklog,
             Some(other) => panic!("{}: {other:?}", case.name),
         };
-        assert_eq!(told, case.told, "{}", case.name);
+        assert_eq!(sent, case.sent, "{}", case.name);
     }
 }
--- a/crates/gateway/src/batch/owner.rs
+++ b/crates/gateway/src/batch/owner.rs
@@ -122,15 +122,18 @@
     in_flight: HashMap<Arc<str>, InFlightCall>,
     /// The state of the query for free space at each upstream.
     room_queries: HashMap<Arc<str>, RoomQuery>,
-    calls: u64,
-    free: HashMap<std::net::SocketAddr, Vec<Handle>>,
-    freed_at: Instant,
+    /// The number of the last call.
+    last_call: u64,
+    /// The released results by the address of the upstream that stores them, and when upstreams were
+    /// last told of releases.
+    released: HashMap<std::net::SocketAddr, Vec<Handle>>,
+    releases_sent: Instant,
     /// The channel for the answers to each connection.
     peers: HashMap<u64, Replies>,
     /// Results that are sent at the end of the step, with those of one job in one message.
     outbox: HashMap<JobKey, (Replies, PiecesDone)>,
     /// Whether waiting jobs were returned to their entries because this entry is shutting down.
-    handed_back: bool,
+    jobs_returned: bool,
     /// When the backlogs were last sent, and whether any piece was waiting then.
     backlogs_sent: (Instant, bool),
 }
@@ -146,12 +149,12 @@
             jobs: HashMap::new(),
             in_flight: HashMap::new(),
             room_queries: HashMap::new(),
-            calls: 0,
-            free: HashMap::new(),
-            freed_at: Instant::now(),
+            last_call: 0,
+            released: HashMap::new(),
+            releases_sent: Instant::now(),
             peers: HashMap::new(),
             outbox: HashMap::new(),
-            handed_back: false,
+            jobs_returned: false,
             backlogs_sent: (Instant::now(), false),
         };
         tokio::spawn(run(state, incoming));
@@ -159,7 +162,7 @@
     }
 
     /// Sends an event to the owner, which runs as long as the process.
-    pub(crate) fn tell(&self, event: OwnerEvent) {
+    pub(crate) fn send(&self, event: OwnerEvent) {
         // The owner's task ends only with the process.
         let _ = self.events.send(event);
     }
@@ -169,7 +172,7 @@
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        let busy = !state.jobs.is_empty() || !state.free.is_empty() || state.backlogs_sent.1;
+        let busy = !state.jobs.is_empty() || !state.released.is_empty() || state.backlogs_sent.1;
         tokio::select! {
             event = incoming.recv() => {
                 let Some(event) = event else { return };
@@ -207,7 +210,7 @@
                 self.jobs.remove(&key);
                 self.queues.values_mut().for_each(|it| it.cancel(key));
             }
-            OwnerEvent::Message(_, ToOwner::Free(handles), _) => self.give_up(handles),
+            OwnerEvent::Message(_, ToOwner::Free(handles), _) => self.release(handles),
             // The connection's own task sends the news.
             OwnerEvent::Message(_, ToOwner::SubscribeNews, _) => {}
             OwnerEvent::Disconnected(origin) => {
@@ -217,7 +220,7 @@
             }
             OwnerEvent::CallEnded(end) => self.call_ended(end),
             OwnerEvent::RoomReport(upstream, section, report) => {
-                self.take_room(&upstream, &section, report);
+                self.handle_room_report(&upstream, &section, report);
             }
             OwnerEvent::ResultsFreed(upstream, handles) => {
                 let section = self.shared.directory().section_of(&upstream);
@@ -228,10 +231,10 @@
         }
     }
 
-    fn give_up(&mut self, handles: Vec<String>) {
+    fn release(&mut self, handles: Vec<String>) {
         for handle in handles.into_iter().map(Handle::from) {
             if let Some(address) = D::keeper(&handle) {
-                self.free.entry(address).or_default().push(handle);
+                self.released.entry(address).or_default().push(handle);
             }
         }
     }
@@ -239,8 +242,8 @@
     /// Sends everything that is due: calls, results, backlogs and released results.
     fn step(&mut self) {
         let now = Instant::now();
-        if self.shared.drain.is_ending() && !self.handed_back {
-            self.hand_back();
+        if self.shared.drain.is_ending() && !self.jobs_returned {
+            self.return_jobs();
         }
         self.requeue_overdue(now);
         self.send_fetched(now);
@@ -253,9 +256,9 @@
         if now.duration_since(self.backlogs_sent.0) >= BACKLOG_INTERVAL {
             self.send_backlogs(now);
         }
-        if !self.free.is_empty() && now.duration_since(self.freed_at) >= FREE_INTERVAL {
-            self.freed_at = now;
-            self.send_free();
+        if !self.released.is_empty() && now.duration_since(self.releases_sent) >= FREE_INTERVAL {
+            self.releases_sent = now;
+            self.send_releases();
         }
     }
 
@@ -306,15 +309,21 @@
         }
         for next in calls {
             let Some(upstream) = upstreams.iter().find(|it| it.id == next.upstream) else { break };
-            self.send(Arc::clone(upstream), section, next, now);
+            self.send_call(Arc::clone(upstream), section, next, now);
         }
     }
 
-    fn send(&mut self, upstream: Arc<Upstream>, section: &Section, next: NextCall, now: Instant) {
-        self.calls += 1;
-        self.note_call(&upstream.id, now);
+    fn send_call(
+        &mut self,
+        upstream: Arc<Upstream>,
+        section: &Section,
+        next: NextCall,
+        now: Instant,
+    ) {
+        self.last_call += 1;
+        self.record_call(&upstream.id, now);
         let in_flight = InFlightCall {
-            call: self.calls,
+            call: self.last_call,
             section: section.clone(),
             overdue_at: now + next.expected.mul_f64(OVERDUE_FACTOR) + OVERDUE_SLACK,
             pieces: next.pieces.clone(),
@@ -324,7 +333,13 @@
             fetched_sent: false,
         };
         self.in_flight.insert(Arc::clone(&next.upstream), in_flight);
-        tokio::spawn(call::<D>(self.events.clone(), upstream, section.clone(), self.calls, next));
+        tokio::spawn(call::<D>(
+            self.events.clone(),
+            upstream,
+            section.clone(),
+            self.last_call,
+            next,
+        ));
     }
 }
 
--- a/crates/gateway/src/batch/owner/jobs.rs
+++ b/crates/gateway/src/batch/owner/jobs.rs
@@ -77,8 +77,8 @@
 
     /// Returns jobs of which no piece is in flight to their entries, because this entry is shutting
     /// down.
-    pub(super) fn hand_back(&mut self) {
-        self.handed_back = true;
+    pub(super) fn return_jobs(&mut self) {
+        self.jobs_returned = true;
         let in_flight: HashSet<JobKey> =
             self.in_flight.values().flat_map(|it| &it.pieces).map(|it| it.job).collect();
         let mut back = HashSet::new();
--- a/crates/gateway/src/batch/owner/notify.rs
+++ b/crates/gateway/src/batch/owner/notify.rs
@@ -30,14 +30,14 @@
                 need: ms(queue.min_latency(available)),
             };
             self.shared.backlogs.set(section.clone(), backlog);
-            let news = SectionBacklog {
+            let message = SectionBacklog {
                 service: section.service.to_string(),
                 domain: section.domain.as_ref().map(ToString::to_string),
                 backlog,
             };
             for peer in self.peers.values() {
                 // The event for a connection that has ended removes it here.
-                let _ = peer.send(FromOwner::SectionBacklog(news.clone()));
+                let _ = peer.send(FromOwner::SectionBacklog(message.clone()));
             }
         }
         self.backlogs_sent = (now, any);
@@ -66,9 +66,9 @@
     }
 
     /// Tells upstreams which results are no longer needed.
-    pub(super) fn send_free(&mut self) {
+    pub(super) fn send_releases(&mut self) {
         let directory = self.shared.directory();
-        for (address, handles) in self.free.drain() {
+        for (address, handles) in self.released.drain() {
             let keeper = directory.all().find(|it| it.address == address);
             let Some(keeper) = keeper.cloned() else { continue };
             let events = self.events.clone();
--- a/crates/gateway/src/batch/owner/results.rs
+++ b/crates/gateway/src/batch/owner/results.rs
@@ -98,7 +98,7 @@
                 end.upstream.succeeded();
                 for (piece, result) in end.pieces.iter().zip(&answer.results) {
                     let elsewhere = requeued.contains(&(piece.job, piece.segment));
-                    self.take_result(&end, piece, result.clone(), elsewhere, now);
+                    self.handle_result(&end, piece, result.clone(), elsewhere, now);
                 }
             }
             Err(fault) => {
@@ -109,7 +109,7 @@
                     end.upstream.failed(fault.unreachable);
                 }
                 match fault.cause {
-                    Cause::Lost => self.note_lost(&mut end, now),
+                    Cause::Lost => self.record_lost(&mut end, now),
                     Cause::Refused(_) => {
                         if let Some(queue) = self.queues.get_mut(&end.section) {
                             queue.call_refused(&end.upstream.id, now);
@@ -130,7 +130,7 @@
     }
 
     /// Records that a call lost its connection. One of its requests may have ended the upstream.
-    fn note_lost(&mut self, end: &mut CallEnd, now: Instant) {
+    fn record_lost(&mut self, end: &mut CallEnd, now: Instant) {
         if let Some(queue) = self.queues.get_mut(&end.section) {
             queue.call_lost(&end.upstream.id, now);
         }
@@ -168,7 +168,7 @@
         }
     }
 
-    fn take_result(
+    fn handle_result(
         &mut self,
         end: &CallEnd,
         piece: &Piece,
@@ -188,7 +188,7 @@
                 }
                 if !self.deliver(piece, Ok(Arc::clone(&handle)), now, end.took) {
                     // No submitter waits for the result any more.
-                    self.give_up(vec![handle.to_string()]);
+                    self.release(vec![handle.to_string()]);
                 }
             }
             Err(PieceFailure::NoRoom) if !elsewhere => {
@@ -237,7 +237,7 @@
             let Err(unsent) = replies.send(FromOwner::Results(done)) else { continue };
             let FromOwner::Results(done) = unsent.0 else { continue };
             let handles = done.results.into_iter().filter_map(|it| it.1.ok());
-            self.give_up(handles.collect());
+            self.release(handles.collect());
         }
     }
 }
--- a/crates/gateway/src/batch/owner/room.rs
+++ b/crates/gateway/src/batch/owner/room.rs
@@ -28,7 +28,8 @@
 pub(super) struct RoomQuery {
     asked: Instant,
     answered: bool,
-    used: Instant,
+    /// When the last call was sent, or the query if there was none since.
+    last_call: Instant,
 }
 
 impl<D: Dialect> State<D> {
@@ -41,7 +42,8 @@
         now: Instant,
     ) -> bool {
         let known = self.room_queries.get(&upstream.id).copied();
-        let fresh = known.filter(|it| now.duration_since(it.used.max(it.asked)) < ROOM_VALIDITY);
+        let fresh =
+            known.filter(|it| now.duration_since(it.last_call.max(it.asked)) < ROOM_VALIDITY);
         let Some(query) = fresh else {
             self.ask_room(upstream, section, now);
             return false;
@@ -50,14 +52,14 @@
     }
 
     /// Records that a call is sent to an upstream.
-    pub(super) fn note_call(&mut self, upstream: &str, now: Instant) {
+    pub(super) fn record_call(&mut self, upstream: &str, now: Instant) {
         if let Some(query) = self.room_queries.get_mut(upstream) {
-            query.used = now;
+            query.last_call = now;
         }
     }
 
     /// Handles an upstream's answer, which is `None` if there was none.
-    pub(super) fn take_room(
+    pub(super) fn handle_room_report(
         &mut self,
         upstream: &Upstream,
         section: &Section,
@@ -83,8 +85,8 @@
     fn ask_room(&mut self, upstream: &Arc<Upstream>, section: &Section, now: Instant) {
         // Removes upstreams that are gone, which are never asked again.
         self.room_queries
-            .retain(|_, it| now.duration_since(it.used.max(it.asked)) < ROOM_VALIDITY * 4);
-        let query = RoomQuery { asked: now, answered: false, used: now };
+            .retain(|_, it| now.duration_since(it.last_call.max(it.asked)) < ROOM_VALIDITY * 4);
+        let query = RoomQuery { asked: now, answered: false, last_call: now };
         self.room_queries.insert(Arc::clone(&upstream.id), query);
         let (events, upstream, section) =
             (self.events.clone(), Arc::clone(upstream), section.clone());
