--- a/crates/gateway/src/batch/client.rs
+++ b/crates/gateway/src/batch/client.rs
@@ -267,7 +267,8 @@
     }
 
     fn suspect(&self, address: SocketAddr, service: &str, cause: &str) {
-        log::warn!(peer:% = address, service, cause; "the owner of a service is unavailable; choosing another one");
+        log::warn!(peer:% = address, service, cause;
+            "the owner of a service is unavailable; choosing another one");
         let mut suspects = self.suspects.lock().unwrap_or_else(PoisonError::into_inner);
         suspects.insert(address, Instant::now() + SUSPECT_PERIOD);
     }
--- a/crates/gateway/src/batch/link.rs
+++ b/crates/gateway/src/batch/link.rs
@@ -181,7 +181,8 @@
             }
             Ok(_) => {}
             Err(error) => {
-                log::error!(cause:% = error; "the listener for other entries failed; accepting no more connections");
+                log::error!(cause:% = error;
+                    "the listener for other entries failed; accepting no more connections");
                 return;
             }
         }
--- a/crates/gateway/src/batch/owner.rs
+++ b/crates/gateway/src/batch/owner.rs
@@ -124,8 +124,8 @@
     room_queries: HashMap<Arc<str>, RoomQuery>,
     /// The number of the last call.
     last_call: u64,
-    /// The released results by the address of the upstream that stores them, and when upstreams were
-    /// last told of releases.
+    /// The released results by the address of the upstream that stores them, and when upstreams
+    /// were last told of releases.
     released: HashMap<std::net::SocketAddr, Vec<Handle>>,
     releases_sent: Instant,
     /// The channel for the answers to each connection.
--- a/crates/gateway/src/batch/owner/jobs.rs
+++ b/crates/gateway/src/batch/owner/jobs.rs
@@ -91,7 +91,8 @@
             let _ = open.replies.send(FromOwner::Refused(key.id));
             false
         });
-        log::info!(jobs = back.len(); "returned waiting jobs to their entries because this entry is shutting down");
+        log::info!(jobs = back.len();
+            "returned waiting jobs to their entries because this entry is shutting down");
         self.queues.values_mut().for_each(|it| it.drop_jobs(|key| back.contains(&key)));
     }
 }
--- a/crates/gateway/src/batch/owner/room.rs
+++ b/crates/gateway/src/batch/owner/room.rs
@@ -79,7 +79,8 @@
         let Some(free) = report.free else { return };
         queue.set_free_bytes(&upstream.id, free, now);
         log::info!(upstream:% = upstream.id, section:% = section, free,
-            foreign = queue.foreign_bytes(&upstream.id, now); "an upstream reported its free space for results");
+            foreign = queue.foreign_bytes(&upstream.id, now);
+            "an upstream reported its free space for results");
     }
 
     fn ask_room(&mut self, upstream: &Arc<Upstream>, section: &Section, now: Instant) {
--- a/crates/gateway/src/batch/queue.rs
+++ b/crates/gateway/src/batch/queue.rs
@@ -26,8 +26,8 @@
 /// The number of ranks that the backlog distinguishes; lower ranks count as the last one.
 pub const RANKS: usize = 10;
 
-/// The share of the announced throughput that is reached on average under load: calls are not always
-/// full, and there are pauses between them.
+/// The share of the announced throughput that is reached on average under load: calls are not
+/// always full, and there are pauses between them.
 const EFFICIENCY: f64 = 0.8;
 
 /// The weight of the latest call in the moving average of call times.
