--- a/crates/entry/src/flight.rs
+++ b/crates/entry/src/flight.rs
@@ -50,7 +50,7 @@
 
     /// Returns how long the first byte may take.
     pub(crate) fn first_byte(&self) -> Duration {
-        self.pick.first_byte
+        self.pick.first_byte_limit
     }
 
     /// Returns after how long a second call is worth it. Never for a stage that is not repeatable:
--- a/crates/entry/src/hedge.rs
+++ b/crates/entry/src/hedge.rs
@@ -81,7 +81,7 @@
     tries.tried.push(first.upstream().name.clone());
     // The choice comes before the budget: a pool without another upstream must not spend it.
     let second = step.pick(tries, None).ok()?;
-    step.core.router.may_hedge(&step.stage.pool, left, now).ok()?;
+    step.core.router.spend_hedge(&step.stage.pool, left, now).ok()?;
     step.core.metrics.extra(&step.stage.pool, "hedge");
     Some(Flight::begin(step, second, tries, progress))
 }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, header};
-use routing::Ask;
+use routing::RequestInfo;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use sha2::{Digest, Sha256};
@@ -30,7 +30,7 @@
     pub(crate) id: RequestId,
     pub(crate) arrived: Instant,
     pub(crate) view: Arc<View>,
-    pub(crate) ask: Ask,
+    pub(crate) ask: RequestInfo,
     pub(crate) pipeline: Arc<Pipeline>,
     pub(crate) input: Box<RawValue>,
     pub(crate) key: Option<IdempotencyKey>,
@@ -111,7 +111,7 @@
             id: self.id,
             arrived: self.arrived,
             view: self.view,
-            ask: Ask {
+            ask: RequestInfo {
                 customer: self.customer,
                 pipeline: self.name,
                 priority: self.priority,
--- a/crates/entry/src/step.rs
+++ b/crates/entry/src/step.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use routing::{CallEnd, Pick, PickAsk, Slot, Turn, UpstreamView};
+use routing::{CallEnd, Pick, PickRequest, Slot, SlotResponse, UpstreamView};
 use serde_json::value::RawValue;
 use tokio::time::timeout_at;
 use types::{Cost, Micros, RefusalReason, Stage, Tokens, UpstreamName};
@@ -87,11 +87,12 @@
 
     /// Waits for a place in the pool's work.
     pub(crate) async fn place(&self) -> Result<Place, Halt> {
-        let turn = self.core.router.enter(&self.stage.pool, &self.request.ask, self.by, self.began);
+        let turn =
+            self.core.router.request_slot(&self.stage.pool, &self.request.ask, self.by, self.began);
         let waiting = match turn {
-            Turn::Go(slot) => return Ok(Place::taken(slot)),
-            Turn::Refused(refusal) => return Err(refusal.into()),
-            Turn::Wait(waiting) => waiting,
+            SlotResponse::Granted(slot) => return Ok(Place::taken(slot)),
+            SlotResponse::Refused(refusal) => return Err(refusal.into()),
+            SlotResponse::Queued(waiting) => waiting,
         };
         match timeout_at(self.by.into(), waiting).await {
             Ok(Ok(Ok(slot))) => Ok(Place::taken(slot)),
@@ -115,7 +116,7 @@
             return Err(self.late("before it was called"));
         }
         self.check_claim(now)?;
-        let ask = PickAsk { pool: &self.stage.pool, prefix, exclude: &tries.tried, left };
+        let ask = PickRequest { pool: &self.stage.pool, prefix, exclude: &tries.tried, left };
         Ok(self.core.router.pick(&ask, now, &mut rand::rng())?)
     }
 
@@ -179,7 +180,7 @@
     pub(crate) fn succeeded(&self, pick: &Pick, first_byte: Duration, used: Used) {
         let Used { total, tokens, busy } = used;
         let end = CallEnd::Ok { first_byte, total, tokens };
-        self.core.router.ended(pick, end, Instant::now());
+        self.core.router.call_ended(pick, end, Instant::now());
         self.core.router.charge(&self.request.ask.customer, tokens, Instant::now());
         self.core.metrics.used(&self.stage.pool, total);
         self.core.usage.used(&self.account(), busy, tokens);
@@ -198,7 +199,7 @@
         log::debug!(request:% = request, step:% = step, peer:% = peer; "a call failed: {error}");
         let CallError { fault, sent, .. } = error;
         let (end, word) = call_end(&fault);
-        self.core.router.ended(upstream, end, Instant::now());
+        self.core.router.call_ended(upstream, end, Instant::now());
         self.core.metrics.call(&self.stage.pool, word);
         let repeatable = self.stage.repeatable;
         match sent {
@@ -218,7 +219,7 @@
 
     /// Notes a call whose result nobody waits for any more.
     pub(crate) fn abandoned(&self, pick: &Pick, time: Duration) {
-        self.core.router.ended(pick, CallEnd::Abandoned, Instant::now());
+        self.core.router.call_ended(pick, CallEnd::Abandoned, Instant::now());
         self.core.metrics.call(&self.stage.pool, "abandoned");
         self.core.usage.wasted(&self.account(), time);
     }
@@ -250,7 +251,7 @@
         }
         if !matches!(fault, Fault::Connect(_) | Fault::Leaving) {
             let left = self.by.saturating_duration_since(Instant::now());
-            let allowed = self.core.router.may_retry(&self.stage.pool, left, Instant::now());
+            let allowed = self.core.router.spend_retry(&self.stage.pool, left, Instant::now());
             allowed.map_err(|refusal| self.spent(fault).after(refusal.retry_after))?;
         }
         self.core.metrics.extra(&self.stage.pool, "retry");
--- a/crates/entry/src/tasks.rs
+++ b/crates/entry/src/tasks.rs
@@ -72,7 +72,7 @@
     while let Some(event) = events.recv().await {
         match event {
             Event::Service(snapshot) => install(&core, snapshot),
-            Event::Digest(digest) => core.router.digest(&digest, Instant::now()),
+            Event::Digest(digest) => core.router.apply_digest(&digest, Instant::now()),
             Event::Shares(shares) => shares.into_iter().for_each(|share| take(&core, share)),
         }
     }
@@ -98,5 +98,5 @@
 
 fn take<S: Session>(core: &Core<S>, share: CustomerShare) {
     let CustomerShare { customer, rate, concurrency, tokens } = share;
-    core.router.shares(&customer, &CustomerLimits { rate, concurrency, tokens });
+    core.router.set_shares(&customer, &CustomerLimits { rate, concurrency, tokens });
 }
--- a/crates/gateway/src/batch/client.rs
+++ b/crates/gateway/src/batch/client.rs
@@ -57,9 +57,9 @@
     pub(crate) stage: u32,
     pub(crate) pieces: u32,
     pub(crate) input: PieceInput,
-    pub(crate) size: u64,
+    pub(crate) result_bytes: u64,
     pub(crate) domain: Option<Arc<str>>,
-    pub(crate) weight: u64,
+    pub(crate) transfer_bytes: u64,
     pub(crate) rank: u8,
     pub(crate) due: Instant,
     pub(crate) deadline: Instant,
@@ -83,7 +83,7 @@
 }
 
 /// Submits jobs of all services to their owners.
-pub(crate) struct Batches<D> {
+pub(crate) struct BatchClient<D> {
     shared: Arc<Shared<D>>,
     owner: Owner,
     secret: Secret,
@@ -95,7 +95,7 @@
     relays: mpsc::Sender<Relay>,
 }
 
-impl<D: Dialect> Batches<D> {
+impl<D: Dialect> BatchClient<D> {
     pub(crate) fn new(
         shared: Arc<Shared<D>>,
         owner: Owner,
@@ -250,7 +250,7 @@
 
     /// Asks other entries for the registry's news while this one is connected to no registry
     /// member. Runs for as long as the process does.
-    pub(crate) async fn ask_around(self: Arc<Self>, news: watch::Receiver<News>) {
+    pub(crate) async fn subscribe_news(self: Arc<Self>, news: watch::Receiver<News>) {
         let mut ticks = interval(NEWS_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
--- a/crates/gateway/src/batch/client/job.rs
+++ b/crates/gateway/src/batch/client/job.rs
@@ -6,7 +6,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::{Batches, JobSpec, StageTimes};
+use super::{BatchClient, JobSpec, StageTimes};
 use crate::batch::link::Link;
 use crate::batch::message::{FromOwner, Job, JobInput, ToOwner};
 use crate::batch::owner::{LOCAL_ORIGIN, Owner, OwnerEvent};
@@ -26,7 +26,7 @@
 /// The completed and the outstanding pieces of a job. If dropped before all are completed, it
 /// releases the results.
 pub(super) struct Progress<'a, D: Dialect> {
-    pub(super) client: &'a Batches<D>,
+    pub(super) client: &'a BatchClient<D>,
     pub(super) input: &'a PieceInput,
     pub(super) done: BTreeMap<u32, Handle>,
     pub(super) left: BTreeSet<u32>,
@@ -89,9 +89,9 @@
         stage: spec.stage,
         segments: left.iter().copied().collect(),
         input,
-        result_bytes: spec.size,
+        result_bytes: spec.result_bytes,
         domain: spec.domain.as_ref().map(ToString::to_string),
-        transfer_bytes: spec.weight,
+        transfer_bytes: spec.transfer_bytes,
         rank: spec.rank,
         due_ms: early - late,
         remaining_ms: spec.deadline.saturating_duration_since(now).as_millis() as u64,
--- a/crates/gateway/src/batch/mod.rs
+++ b/crates/gateway/src/batch/mod.rs
@@ -11,6 +11,6 @@
 mod owner;
 pub mod queue;
 
-pub(crate) use client::{Batches, JobSpec, StageTimes};
+pub(crate) use client::{BatchClient, JobSpec, StageTimes};
 pub(crate) use link::accept;
 pub(crate) use owner::{Owner, OwnerConfig};
--- a/crates/gateway/src/batch/queue.rs
+++ b/crates/gateway/src/batch/queue.rs
@@ -17,7 +17,7 @@
 
 /// The size in bytes from which a result is worth waiting for an upstream in the failure domain
 /// that uses it.
-pub(crate) const LARGE: u64 = 200_000;
+pub(crate) const LARGE_RESULT_BYTES: u64 = 200_000;
 
 /// A piece waits for an upstream in its failure domain only if the result would be ready this long
 /// before it is due.
@@ -374,7 +374,7 @@
         now: Instant,
     ) -> bool {
         let Some(domain) = &piece.domain else { return false };
-        if piece.transfer_bytes < LARGE || *domain == target.domain {
+        if piece.transfer_bytes < LARGE_RESULT_BYTES || *domain == target.domain {
             return false;
         }
         let near = available.iter().filter(|it| it.domain == *domain);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -9,7 +9,7 @@
 use types::{StepResult, VmName};
 use wire::{Hello, Kind, Listener, Secret};
 
-use crate::batch::{Batches, Owner, OwnerConfig, accept};
+use crate::batch::{BatchClient, Owner, OwnerConfig, accept};
 use crate::budget::{Budget, BudgetSpec};
 use crate::dialect::Dialect;
 use crate::drain::Phase;
@@ -100,9 +100,9 @@
         let owner = Owner::spawn(OwnerConfig { shared: Arc::clone(&shared) });
         tokio::spawn(accept(listener, owner.clone(), follower.news()));
         let (relays, own) = (follower.relays(), config.address);
-        let batches = Batches::new(Arc::clone(&shared), owner, secret, me, own, relays);
+        let batches = BatchClient::new(Arc::clone(&shared), owner, secret, me, own, relays);
         let batches = Arc::new(batches);
-        tokio::spawn(Arc::clone(&batches).ask_around(follower.news()));
+        tokio::spawn(Arc::clone(&batches).subscribe_news(follower.news()));
         let streams = Arc::new(Streams { shared: Arc::clone(&shared), batches });
         tokio::spawn(Arc::clone(&shared).follow(follower.news()));
         let loads = Arc::clone(&shared).share_loads(follower.reports(), follower.digest());
--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -8,7 +8,7 @@
 use registry::RequestDigest;
 use tokio::time::Instant;
 
-use crate::batch::{Batches, JobSpec};
+use crate::batch::{BatchClient, JobSpec};
 use crate::dialect::{Dialect, Handle, PieceFailure, PieceInput, Segments};
 use crate::phases::{Phases, StagePhase};
 use crate::plan::{Plan, Route};
@@ -38,7 +38,7 @@
 
 /// The results that an engine needs; given up when dropped.
 pub(crate) struct Inputs<D: Dialect> {
-    batches: Arc<Batches<D>>,
+    batches: Arc<BatchClient<D>>,
     handles: Vec<Handle>,
     /// When their makers drop them.
     until: Option<Instant>,
@@ -48,7 +48,7 @@
 
 impl<D: Dialect> Inputs<D> {
     /// No results.
-    pub(crate) fn none(batches: Arc<Batches<D>>) -> Self {
+    pub(crate) fn none(batches: Arc<BatchClient<D>>) -> Self {
         Self { batches, handles: Vec::new(), until: None, phases: Phases::default() }
     }
 
@@ -79,7 +79,7 @@
 
 /// Runs all stages; returns the results of those that no other follows.
 pub(crate) async fn run<D: Dialect>(
-    batches: &Arc<Batches<D>>,
+    batches: &Arc<BatchClient<D>>,
     run: &StageRun<'_>,
 ) -> Result<Inputs<D>, StageFailure> {
     let count = run.route.stages.len();
@@ -149,7 +149,7 @@
 }
 
 fn spec<D: Dialect>(
-    batches: &Batches<D>,
+    batches: &BatchClient<D>,
     run: &StageRun<'_>,
     stage: usize,
     done: &[Option<Inputs<D>>],
@@ -183,9 +183,9 @@
         stage: stage as u32,
         pieces,
         input,
-        size: it.size,
+        result_bytes: it.size,
         domain,
-        weight,
+        transfer_bytes: weight,
         rank: run.rank,
         due,
         // Pieces that outwait their inputs would be asked for in vain.
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use crate::admission::{self, Forecast, Terms, Verdict};
-use crate::batch::Batches;
+use crate::batch::BatchClient;
 use crate::dialect::{Dialect, PieceFailure, Segments};
 use crate::exchange::Cause;
 use crate::offers::Offers;
@@ -42,7 +42,7 @@
 /// The parts of an entry that a stream uses.
 pub(crate) struct Streams<D: Dialect> {
     pub(crate) shared: Arc<Shared<D>>,
-    pub(crate) batches: Arc<Batches<D>>,
+    pub(crate) batches: Arc<BatchClient<D>>,
 }
 
 /// What a request has used up so far.
--- a/crates/gateway/src/stream/choice.rs
+++ b/crates/gateway/src/stream/choice.rs
@@ -10,7 +10,7 @@
 use crate::dialect::{Dialect, PromptPart};
 use crate::directory::Directory;
 use crate::place::{Load, Placing, place};
-use crate::queue::LARGE;
+use crate::queue::LARGE_RESULT_BYTES;
 use crate::request::CallerRequest;
 use crate::upstream::Upstream;
 
@@ -68,10 +68,9 @@
 ) -> HashMap<Arc<str>, f64> {
     let mut weights: HashMap<Arc<str>, f64> = HashMap::new();
     let stages = &request.route.stages;
-    let large = stages
-        .iter()
-        .enumerate()
-        .find(|(at, it)| it.size >= LARGE && !stages.iter().any(|other| other.after.contains(at)));
+    let large = stages.iter().enumerate().find(|(at, it)| {
+        it.size >= LARGE_RESULT_BYTES && !stages.iter().any(|other| other.after.contains(at))
+    });
     let Some((_, stage)) = large else { return weights };
     for engine in engines {
         weights.entry(Arc::clone(&engine.domain)).or_default();
--- a/crates/routing/examples/choice.rs
+++ b/crates/routing/examples/choice.rs
@@ -13,7 +13,7 @@
 use common::{Bench, load, ms, name, pool, service};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use routing::{PickAsk, Router, Rules};
+use routing::{PickRequest, Router, Rules};
 use types::{PoolKind, PoolName};
 
 const SIZES: [usize; 3] = [20, 200, 600];
@@ -40,7 +40,7 @@
     for at in 0..count {
         let prefix =
             (prefixes > 0).then(|| (at % prefixes.max(1)).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let request = PickAsk { pool: &pool, prefix, exclude: &[], left: ms(5_000) };
+        let request = PickRequest { pool: &pool, prefix, exclude: &[], left: ms(5_000) };
         let now = begin + Duration::from_micros(at / 4);
         in_flight[at as usize % 8] = black_box(router.pick(&request, now, &mut rng)).ok();
     }
--- a/crates/routing/examples/weigh.rs
+++ b/crates/routing/examples/weigh.rs
@@ -14,7 +14,7 @@
 use common::{load, name, pool, service};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use routing::{Ask, CallEnd, Pick, PickAsk, Router, Rules, Turn};
+use routing::{CallEnd, Pick, PickRequest, RequestInfo, Router, Rules, SlotResponse};
 use tokio::sync::{Notify, Semaphore};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
@@ -75,7 +75,7 @@
 impl Drop for Call<'_> {
     fn drop(&mut self) {
         let Call(world, router, pick, end, started) = self;
-        router.ended(pick, *end, now());
+        router.call_ended(pick, *end, now());
         let busy = started.map_or(0.0, |it| (now() - it).as_secs_f64()) * world.measured();
         let mut tally = world.tally.borrow_mut();
         tally.3 += busy;
@@ -157,21 +157,21 @@
         let (who, priority, _) = CUSTOMERS[customer];
         let (customer, pipeline, priority) = (name(who), name("answer"), Priority(priority));
         let (deadline, tokens) = (now() + DEADLINE, Tokens(1));
-        let info = Ask { customer, pipeline, priority, deadline, tokens };
+        let info = RequestInfo { customer, pipeline, priority, deadline, tokens };
         let _admission = router.admit(&info, now())?;
         let prefix = ((self.draw() * self.draw() * 60.0) as u64 + 1) * 0x0101_9e37_79b9_7f4a;
         for (index, (pool, _, _, mean)) in POOLS.into_iter().enumerate() {
             let (pool, by) = (name(pool), router.stage_deadline(&info, index, now()));
-            let _slot = match router.enter(&pool, &info, by, now()) {
-                Turn::Go(slot) => slot,
-                Turn::Wait(queued) => queued.await.expect("an answer")?,
-                Turn::Refused(refusal) => return Err(refusal),
+            let _slot = match router.request_slot(&pool, &info, by, now()) {
+                SlotResponse::Granted(slot) => slot,
+                SlotResponse::Queued(queued) => queued.await.expect("an answer")?,
+                SlotResponse::Refused(refusal) => return Err(refusal),
             };
             let (began, mut tried, left) = (now(), Vec::new(), || deadline - now());
             loop {
                 let pick = |exclude: &[_]| {
                     let request =
-                        PickAsk { pool: &pool, prefix: Some(prefix), exclude, left: left() };
+                        PickRequest { pool: &pool, prefix: Some(prefix), exclude, left: left() };
                     router.pick(&request, now(), &mut *self.rng.borrow_mut())
                 };
                 let first = pick(&tried)?;
@@ -179,7 +179,7 @@
                 tried.push(first.upstream.name.clone());
                 let second = async {
                     sleep(hedge).await;
-                    match router.may_hedge(&pool, left(), now()).and_then(|()| pick(&tried)) {
+                    match router.spend_hedge(&pool, left(), now()).and_then(|()| pick(&tried)) {
                         Ok(pick) => self.call(router, pick, prefix, mean).await,
                         Err(_) => std::future::pending().await,
                     }
@@ -192,7 +192,7 @@
                 if answered {
                     break;
                 }
-                router.may_retry(&pool, left(), now())?;
+                router.spend_retry(&pool, left(), now())?;
             }
             router.stage_ended(&info, index, now() - began, now());
         }
@@ -245,7 +245,7 @@
                 }
                 let loads = counts.iter().map(|(name, count)| load(name.as_str(), *count));
                 let digest = Digest { sequence, loads: loads.collect(), entries: ENTRIES as u32 };
-                self.routers.iter().for_each(|it| it.digest(&digest, now()));
+                self.routers.iter().for_each(|it| it.apply_digest(&digest, now()));
             }
             if self.at() >= fault {
                 fault = f64::INFINITY;
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -58,11 +58,11 @@
 
 /// The response to a request for a slot.
 #[derive(Debug)]
-pub enum Turn {
+pub enum SlotResponse {
     /// The stage may be called now.
-    Go(Slot),
+    Granted(Slot),
     /// The stage is queued. The receiver gets its slot or its refusal.
-    Wait(oneshot::Receiver<Result<Slot, Refusal>>),
+    Queued(oneshot::Receiver<Result<Slot, Refusal>>),
     /// The stage is refused.
     Refused(Refusal),
 }
@@ -92,23 +92,35 @@
     }
 
     /// Starts, queues or refuses a stage.
-    pub(crate) fn request_slot(self: &Arc<Self>, request: &SlotRequest<'_>, now: Micros) -> Turn {
+    pub(crate) fn request_slot(
+        self: &Arc<Self>,
+        request: &SlotRequest<'_>,
+        now: Micros,
+    ) -> SlotResponse {
         let priority = request.priority;
         let idle = sum(&self.running) == 0;
         if now + request.expected > request.deadline && !(idle && now < request.deadline) {
-            return Turn::Refused(self.refuse(RefusalReason::DeadlineTooShort, priority, now));
+            return SlotResponse::Refused(self.refuse(
+                RefusalReason::DeadlineTooShort,
+                priority,
+                now,
+            ));
         }
         let mut work = self.lock();
         if has_slot(self, priority) && !work.queue.has_call_before(priority) {
             work.start_call(self, priority, request.customer);
-            return Turn::Go(self.slot(priority));
+            return SlotResponse::Granted(self.slot(priority));
         }
         let ahead = work.queue.calls_ahead(priority, request.customer);
         let wait = (ahead + 1) as f64 / self.slot_rate(priority, now);
         let expected = request.expected + request.margin;
         if now + wait as Micros + expected > request.deadline {
             drop(work);
-            return Turn::Refused(self.refuse(RefusalReason::DeadlineTooShort, priority, now));
+            return SlotResponse::Refused(self.refuse(
+                RefusalReason::DeadlineTooShort,
+                priority,
+                now,
+            ));
         }
         let mut displaced = None;
         if work.queue.len() >= self.queue_target() {
@@ -116,7 +128,7 @@
             let limit = if priority == 0 { MAX_QUEUE_LEN } else { 0 };
             if displaced.is_none() && work.queue.len() >= limit {
                 drop(work);
-                return Turn::Refused(self.refuse(RefusalReason::QueueFull, priority, now));
+                return SlotResponse::Refused(self.refuse(RefusalReason::QueueFull, priority, now));
             }
         }
         let (reply, receiver) = oneshot::channel();
@@ -129,7 +141,7 @@
             let refusal = self.refuse(RefusalReason::Displaced, call.priority, now);
             let _ = call.reply.send(Err(refusal));
         }
-        Turn::Wait(receiver)
+        SlotResponse::Queued(receiver)
     }
 
     /// Starts the calls that have a slot and refuses those that no longer have enough time.
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -19,7 +19,7 @@
 
 /// What a stage's call requires of an upstream.
 #[derive(Clone, Debug)]
-pub struct PickAsk<'a> {
+pub struct PickRequest<'a> {
     /// The pool.
     pub pool: &'a PoolName,
     /// A hash of the prompt's prefix, if caching it is useful.
@@ -36,7 +36,7 @@
     /// The upstream.
     pub upstream: Arc<UpstreamView>,
     /// The time to the first byte after which the connection counts as silent.
-    pub first_byte: Duration,
+    pub first_byte_limit: Duration,
     /// The delay after which a second call to another upstream is worth it, if at all.
     pub hedge_after: Option<Duration>,
     pub(crate) pool: Arc<PoolState>,
@@ -92,7 +92,7 @@
 /// The state of one choice.
 pub(crate) struct Choice<'a> {
     pool: &'a Pool,
-    request: &'a PickAsk<'a>,
+    request: &'a PickRequest<'a>,
     view: EntryView,
     now: Micros,
     mean: f64,
@@ -103,7 +103,7 @@
 impl<'a> Choice<'a> {
     pub(crate) fn new(
         pool: &'a Pool,
-        request: &'a PickAsk<'a>,
+        request: &'a PickRequest<'a>,
         view: EntryView,
         now: Micros,
     ) -> Self {
@@ -258,7 +258,7 @@
         }
         Pick {
             upstream: Arc::clone(best.view),
-            first_byte: Duration::from_micros(state.first_byte_limit()),
+            first_byte_limit: Duration::from_micros(state.first_byte_limit()),
             hedge_after: crate::hedge::delay(state, &self.view, self.request.left, self.mean),
             pool: Arc::clone(state),
             start: self.now,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -23,9 +23,9 @@
 mod table;
 mod work;
 
-pub use admission::{Admission, Slot, Turn};
-pub use choice::{CallEnd, Pick, PickAsk};
+pub use admission::{Admission, Slot, SlotResponse};
+pub use choice::{CallEnd, Pick, PickRequest};
 pub use decisions::{Counter, Decision};
 pub use policy::Rules;
-pub use router::{Ask, Router};
+pub use router::{RequestInfo, Router};
 pub use table::UpstreamView;
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -10,9 +10,9 @@
     Refusal, RefusalReason, Service, SiteName, Tokens, UpstreamName, UpstreamStanding,
 };
 
-use crate::admission::{Admission, SlotRequest, Turn, fits_deadline};
+use crate::admission::{Admission, SlotRequest, SlotResponse, fits_deadline};
 use crate::affinity::PrefixTable;
-use crate::choice::{CallEnd, Choice, Pick, PickAsk};
+use crate::choice::{CallEnd, Choice, Pick, PickRequest};
 use crate::clock::{Clock, Micros};
 use crate::decisions::{Counter, Decision, DecisionKind, DecisionLog};
 use crate::eject::DigestChange;
@@ -32,7 +32,7 @@
 
 /// What admission needs to know of a request.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestInfo {
     /// The customer.
     pub customer: CustomerName,
     /// The pipeline.
@@ -99,7 +99,7 @@
     }
 
     /// Applies a load digest. One that is older than the last is ignored.
-    pub fn digest(&self, digest: &Digest, now: Instant) {
+    pub fn apply_digest(&self, digest: &Digest, now: Instant) {
         let now = self.clock.observe(now);
         let last = self.sequence.load(Ordering::Relaxed);
         let age = now.saturating_sub(self.digest_received.load(Ordering::Relaxed));
@@ -128,7 +128,7 @@
     }
 
     /// Sets this entry's shares of a customer's limits; `None` where control assigned no share.
-    pub fn shares(&self, customer: &CustomerName, limits: &CustomerLimits) {
+    pub fn set_shares(&self, customer: &CustomerName, limits: &CustomerLimits) {
         if let Some(account) = self.table.load().customers.get(customer) {
             account.set_share(limits);
         }
@@ -137,7 +137,7 @@
     /// Admits a request or refuses it at once.
     /// # Errors
     /// Returns the refusal, with the time after which to retry.
-    pub fn admit(&self, info: &Ask, now: Instant) -> Result<Admission, Refusal> {
+    pub fn admit(&self, info: &RequestInfo, now: Instant) -> Result<Admission, Refusal> {
         let now = self.clock.observe(now);
         let table = self.table.load();
         let Some(stages) = table.pipelines.get(&info.pipeline) else {
@@ -187,7 +187,7 @@
 
     /// Returns when stage `index` of the request must have ended, so that the later stages have
     /// enough time.
-    pub fn stage_deadline(&self, info: &Ask, index: usize, now: Instant) -> Instant {
+    pub fn stage_deadline(&self, info: &RequestInfo, index: usize, now: Instant) -> Instant {
         let now = self.clock.observe(now);
         let table = self.table.load();
         let Some(stages) = table.pipelines.get(&info.pipeline) else {
@@ -201,7 +201,7 @@
 
     /// Records how long stage `index` took, from the granted slot to the last byte, retries
     /// included.
-    pub fn stage_ended(&self, info: &Ask, index: usize, took: Duration, now: Instant) {
+    pub fn stage_ended(&self, info: &RequestInfo, index: usize, took: Duration, now: Instant) {
         let now = self.clock.observe(now);
         let table = self.table.load();
         let stage = table.pipelines.get(&info.pipeline).and_then(|it| it.get(index));
@@ -213,18 +213,24 @@
     }
 
     /// Requests a slot in a pool.
-    pub fn enter(&self, pool: &PoolName, info: &Ask, by: Instant, now: Instant) -> Turn {
+    pub fn request_slot(
+        &self,
+        pool: &PoolName,
+        info: &RequestInfo,
+        by: Instant,
+        now: Instant,
+    ) -> SlotResponse {
         let now = self.clock.observe(now);
         let table = self.table.load();
         let Some(state) = table.pools.get(pool).map(|it| &it.state) else {
-            return Turn::Refused(self.refuse_unknown(
+            return SlotResponse::Refused(self.refuse_unknown(
                 RefusalReason::NoUpstream,
                 pool.as_str(),
                 now,
             ));
         };
         if state.limit.load(Ordering::Relaxed) == 0 {
-            return Turn::Refused(state.refuse(
+            return SlotResponse::Refused(state.refuse(
                 RefusalReason::NoUpstream,
                 self.priority(info),
                 now,
@@ -248,7 +254,7 @@
     /// Returns the refusal if no upstream of the pool accepts new work.
     pub fn pick(
         &self,
-        request: &PickAsk<'_>,
+        request: &PickRequest<'_>,
         now: Instant,
         rng: &mut impl rand::Rng,
     ) -> Result<Pick, Refusal> {
@@ -269,7 +275,7 @@
     }
 
     /// Records how a call ended.
-    pub fn ended(&self, pick: &Pick, end: CallEnd, now: Instant) {
+    pub fn call_ended(&self, pick: &Pick, end: CallEnd, now: Instant) {
         let now = self.clock.observe(now);
         let table = self.table.load();
         let pool = table.pools.get(&pick.pool.name);
@@ -281,14 +287,24 @@
     /// Spends a token of the retry budget on a retry.
     /// # Errors
     /// Returns the refusal if the budget is spent or too little time is left.
-    pub fn may_retry(&self, pool: &PoolName, left: Duration, now: Instant) -> Result<(), Refusal> {
+    pub fn spend_retry(
+        &self,
+        pool: &PoolName,
+        left: Duration,
+        now: Instant,
+    ) -> Result<(), Refusal> {
         self.spend_budget(pool, left, DecisionKind::Retry, now)
     }
 
     /// Spends a token of the retry budget on a hedge.
     /// # Errors
     /// Returns the refusal if the budget is spent or too little time is left.
-    pub fn may_hedge(&self, pool: &PoolName, left: Duration, now: Instant) -> Result<(), Refusal> {
+    pub fn spend_hedge(
+        &self,
+        pool: &PoolName,
+        left: Duration,
+        now: Instant,
+    ) -> Result<(), Refusal> {
         self.spend_budget(pool, left, DecisionKind::Hedge, now)
     }
 
@@ -348,7 +364,7 @@
         }
     }
 
-    fn priority(&self, info: &Ask) -> u8 {
+    fn priority(&self, info: &RequestInfo) -> u8 {
         let lowest = Priority::COUNT as u8 - 1;
         if self.rules.priority { info.priority.0.min(lowest) } else { lowest }
     }
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -3,28 +3,28 @@
 mod common;
 
 use common::{Bench, load, ms, name, pool, service, stage};
-use routing::{Slot, Turn};
+use routing::{Slot, SlotResponse};
 use types::{Pipeline, PoolKind, Refusal, RefusalReason};
 
 type Queued = tokio::sync::oneshot::Receiver<Result<Slot, Refusal>>;
 
-fn expect_granted(turn: Turn) -> Slot {
+fn expect_granted(turn: SlotResponse) -> Slot {
     match turn {
-        Turn::Go(slot) => slot,
+        SlotResponse::Granted(slot) => slot,
         other => panic!("expected a slot, got {other:?}"),
     }
 }
 
-fn expect_queued(turn: Turn) -> Queued {
+fn expect_queued(turn: SlotResponse) -> Queued {
     match turn {
-        Turn::Wait(queued) => queued,
+        SlotResponse::Queued(queued) => queued,
         other => panic!("expected to wait, got {other:?}"),
     }
 }
 
-fn expect_refused(turn: Turn) -> Refusal {
+fn expect_refused(turn: SlotResponse) -> Refusal {
     match turn {
-        Turn::Refused(refusal) => refusal,
+        SlotResponse::Refused(refusal) => refusal,
         other => panic!("expected a refusal, got {other:?}"),
     }
 }
@@ -160,7 +160,7 @@
     let mut info = bench.request("studio", 5, ms(200));
     info.pipeline = name("search");
     bench.router.admit(&info, bench.now).expect("retrieval is free");
-    expect_granted(bench.router.enter(&name("find"), &info, info.deadline, bench.now));
+    expect_granted(bench.router.request_slot(&name("find"), &info, info.deadline, bench.now));
 }
 
 // Guards against refused callers that all retry at once, again and again, so that the overload
@@ -203,7 +203,7 @@
             let loads: Vec<_> =
                 (0..4).map(|it| load(&format!("write-{it:03}"), case.others / 4)).collect();
             bench.digest(4, &loads);
-            while let Turn::Go(slot) = bench.slot("desk", 3, ms(5_000)) {
+            while let SlotResponse::Granted(slot) = bench.slot("desk", 3, ms(5_000)) {
                 running.push(slot);
             }
             bench.pass(ms(50));
@@ -283,9 +283,11 @@
     let work = |customer: &str| {
         for _ in 0..2_000 {
             let slot = match bench.slot(customer, 3, ms(3_600_000)) {
-                Turn::Go(slot) => slot,
-                Turn::Wait(queued) => queued.blocking_recv().expect("an answer").expect("a slot"),
-                Turn::Refused(refusal) => panic!("the queue holds eight calls: {refusal}"),
+                SlotResponse::Granted(slot) => slot,
+                SlotResponse::Queued(queued) => {
+                    queued.blocking_recv().expect("an answer").expect("a slot")
+                }
+                SlotResponse::Refused(refusal) => panic!("the queue holds eight calls: {refusal}"),
             };
             let others = running.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
             assert!(others < 3, "{others} others run");
@@ -368,7 +370,7 @@
         let loads: Vec<_> = (0..case.replicas).map(busy).collect();
         bench.digest(6, &loads);
         let slots = std::iter::from_fn(|| match bench.slot("desk", 3, ms(5_000)) {
-            Turn::Go(slot) => Some(slot),
+            SlotResponse::Granted(slot) => Some(slot),
             _ => None,
         });
         assert_eq!(slots.collect::<Vec<_>>().len(), case.starts, "{}", case.name);
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -43,7 +43,7 @@
             set: |it| loop {
                 let pick = it.pick(&[]).expect("an upstream");
                 if pick.upstream.name.as_str() == "write-000" {
-                    return it.router.ended(&pick, CallEnd::Busy, it.now);
+                    return it.router.call_ended(&pick, CallEnd::Busy, it.now);
                 }
             },
         },
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -8,7 +8,7 @@
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use routing::{Ask, CallEnd, Pick, PickAsk, Router, Rules};
+use routing::{CallEnd, Pick, PickRequest, RequestInfo, Router, Rules};
 use types::{
     Customer, CustomerLimits, Digest, Millis, Pipeline, Pool, PoolKind, PoolName, Priority,
     Refusal, Service, Stage, Tokens, Upstream, UpstreamLoad, UpstreamName, UpstreamStanding,
@@ -115,11 +115,11 @@
     pub(crate) fn digest(&mut self, entries: u32, loads: &[UpstreamLoad]) {
         self.sequence += 1;
         let digest = Digest { sequence: self.sequence, loads: loads.to_vec(), entries };
-        self.router.digest(&digest, self.now);
+        self.router.apply_digest(&digest, self.now);
     }
 
-    pub(crate) fn request(&self, customer: &str, priority: u8, left: Duration) -> Ask {
-        Ask {
+    pub(crate) fn request(&self, customer: &str, priority: u8, left: Duration) -> RequestInfo {
+        RequestInfo {
             customer: name(customer),
             pipeline: name("answer"),
             priority: Priority(priority),
@@ -128,9 +128,14 @@
         }
     }
 
-    pub(crate) fn slot(&self, customer: &str, priority: u8, left: Duration) -> routing::Turn {
+    pub(crate) fn slot(
+        &self,
+        customer: &str,
+        priority: u8,
+        left: Duration,
+    ) -> routing::SlotResponse {
         let info = self.request(customer, priority, left);
-        self.router.enter(&name("write"), &info, info.deadline, self.now)
+        self.router.request_slot(&name("write"), &info, info.deadline, self.now)
     }
 
     pub(crate) fn pick(&mut self, exclude: &[UpstreamName]) -> Result<Pick, Refusal> {
@@ -143,14 +148,14 @@
         exclude: &[UpstreamName],
     ) -> Result<Pick, Refusal> {
         let pool: PoolName = name("write");
-        let request = PickAsk { pool: &pool, prefix, exclude, left: ms(5_000) };
+        let request = PickRequest { pool: &pool, prefix, exclude, left: ms(5_000) };
         self.router.pick(&request, self.now, &mut self.rng)
     }
 
     /// Ends a call successfully after the time `took`.
     pub(crate) fn end(&mut self, pick: Pick, took: Duration) {
         let end = CallEnd::Ok { first_byte: took / 4, total: took, tokens: Tokens(100) };
-        self.router.ended(&pick, end, self.now);
+        self.router.call_ended(&pick, end, self.now);
     }
 
     /// Makes `count` calls in a row, each of which takes as long as `time` returns.
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -14,7 +14,7 @@
         bench.now += ms(1);
         if who.contains(&pick.upstream.name.as_str()) {
             hits += 1;
-            bench.router.ended(&pick, end, bench.now);
+            bench.router.call_ended(&pick, end, bench.now);
         } else {
             bench.end(pick, ms(200));
         }
@@ -54,7 +54,7 @@
         bench.now += ms(1);
         hits += usize::from(pick.upstream.name.as_str() == "write-002");
         if pick.upstream.name.as_str() == "write-002" && hits % 2 == 1 {
-            bench.router.ended(&pick, CallEnd::Silent, bench.now);
+            bench.router.call_ended(&pick, CallEnd::Silent, bench.now);
         } else {
             bench.end(pick, ms(200));
         }
@@ -146,7 +146,7 @@
     bench.pick(&[]).expect_err("both are leaving");
     let response = bench.slot("yard", 0, ms(5_000));
     assert!(
-        matches!(response, routing::Turn::Refused(it) if it.reason == RefusalReason::NoUpstream)
+        matches!(response, routing::SlotResponse::Refused(it) if it.reason == RefusalReason::NoUpstream)
     );
 }
 
@@ -159,14 +159,14 @@
     let mut granted = 0;
     for _ in 0..1_000 {
         drop(bench.pick(&[]).expect("an upstream"));
-        let retry = bench.router.may_retry(&pool, ms(5_000), bench.now);
+        let retry = bench.router.spend_retry(&pool, ms(5_000), bench.now);
         granted += usize::from(retry.is_ok());
     }
     // The budget was filled at the install, assuming one other entry: 2 * 40 / 2.
     assert!((139..=141).contains(&granted), "a tenth of 1000, and 40: {granted}");
-    let refusal = bench.router.may_retry(&pool, ms(5_000), bench.now).expect_err("spent");
+    let refusal = bench.router.spend_retry(&pool, ms(5_000), bench.now).expect_err("spent");
     assert_eq!(refusal.reason, RefusalReason::RetryBudget);
-    let late = bench.router.may_retry(&pool, ms(50), bench.now).expect_err("200 ms of work");
+    let late = bench.router.spend_retry(&pool, ms(50), bench.now).expect_err("200 ms of work");
     assert_eq!(late.reason, RefusalReason::DeadlineTooShort);
 }
 
@@ -199,13 +199,17 @@
         }
         let pool = name("write");
         let request =
-            routing::PickAsk { pool: &pool, prefix: None, exclude: &[], left: ms(case.left) };
+            routing::PickRequest { pool: &pool, prefix: None, exclude: &[], left: ms(case.left) };
         let pick = bench.router.pick(&request, bench.now, &mut bench.rng).expect("an upstream");
         assert_eq!(pick.hedge_after.is_some(), case.offered, "{}", case.name);
         if let Some(after) = pick.hedge_after {
             assert!((ms(50)..ms(70)).contains(&after), "{after:?}");
         }
-        assert!(pick.first_byte >= ms(150), "three times the highest: {:?}", pick.first_byte);
+        assert!(
+            pick.first_byte_limit >= ms(150),
+            "three times the highest: {:?}",
+            pick.first_byte_limit
+        );
     }
 }
 
@@ -234,10 +238,10 @@
     let mut bench = Bench::writers(4, 10);
     let answered = (0..20).any(|_| {
         let pick = bench.pick(&[]).expect("an upstream");
-        bench.now += pick.first_byte.min(ms(5_000));
-        let silent = pick.first_byte < ms(5_000);
+        bench.now += pick.first_byte_limit.min(ms(5_000));
+        let silent = pick.first_byte_limit < ms(5_000);
         if silent {
-            bench.router.ended(&pick, CallEnd::Silent, bench.now);
+            bench.router.call_ended(&pick, CallEnd::Silent, bench.now);
         } else {
             bench.end(pick, ms(5_000));
         }
@@ -245,5 +249,9 @@
     });
     assert!(answered, "the limit never reached the pool's time");
     let pick = bench.pick(&[]).expect("an upstream");
-    assert!(pick.first_byte > ms(5_000), "one answer is enough to learn: {:?}", pick.first_byte);
+    assert!(
+        pick.first_byte_limit > ms(5_000),
+        "one answer is enough to learn: {:?}",
+        pick.first_byte_limit
+    );
 }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -58,7 +58,7 @@
         bench.limits("yard", CustomerLimits { concurrency, ..CustomerLimits::default() });
         if case.share.is_some() {
             let share = CustomerLimits { concurrency: case.share, ..CustomerLimits::default() };
-            bench.router.shares(&name("yard"), &share);
+            bench.router.set_shares(&name("yard"), &share);
         }
         let (admitted, reason) = burst(&bench);
         assert_eq!(admitted.len(), case.max, "{}", case.name);
@@ -111,7 +111,7 @@
     let limits = CustomerLimits { concurrency: Some(0), ..CustomerLimits::default() };
     for customer in ["yard", "studio"] {
         bench.limits(customer, limits.clone());
-        bench.router.shares(&name(customer), &limits);
+        bench.router.set_shares(&name(customer), &limits);
     }
     let admit = |who: &str| bench.router.admit(&bench.request(who, 0, ms(5_000)), bench.now);
     (0..300).for_each(|_| drop(admit("yard")));
