--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -50,7 +50,7 @@
 
     /// Returns the timeout of the first byte.
     pub(crate) fn first_byte(&self) -> Duration {
-        self.pick.first_byte
+        self.pick.first_byte_limit
     }
 
     /// Returns the time after which a second call is worthwhile. `None` for a stage that is not
--- a/crates/entry/src/hedge.rs
+++ b/crates/entry/src/hedge.rs
@@ -87,7 +87,7 @@
     // An upstream is chosen before the budget is charged: a pool without another one must not spend
     // it.
     let second = step.pick(attempts, None).ok()?;
-    step.core.router.may_hedge(&step.stage.pool, left, now).ok()?;
+    step.core.router.spend_hedge(&step.stage.pool, left, now).ok()?;
     step.core.metrics.extra_call(&step.stage.pool, "hedge");
     Some(InFlightCall::begin(step, second, attempts, progress))
 }
--- a/crates/entry/src/step.rs
+++ b/crates/entry/src/step.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use routing::{CallEnd, Pick, PickAsk, Slot, Turn, UpstreamView};
+use routing::{CallEnd, Pick, PickRequest, Slot, SlotResponse, UpstreamView};
 use serde_json::value::RawValue;
 use tokio::time::timeout_at;
 use types::{Cost, Micros, RefusalReason, Stage, Tokens, UpstreamName};
@@ -88,12 +88,16 @@
 
     /// Waits for a slot in the pool.
     pub(crate) async fn wait_for_slot(&self) -> Result<PoolSlot, RequestError> {
-        let turn =
-            self.core.router.enter(&self.stage.pool, &self.request.ask, self.deadline, self.began);
+        let turn = self.core.router.request_slot(
+            &self.stage.pool,
+            &self.request.ask,
+            self.deadline,
+            self.began,
+        );
         let waiting = match turn {
-            Turn::Go(slot) => return Ok(PoolSlot::new(slot)),
-            Turn::Refused(refusal) => return Err(refusal.into()),
-            Turn::Wait(waiting) => waiting,
+            SlotResponse::Granted(slot) => return Ok(PoolSlot::new(slot)),
+            SlotResponse::Refused(refusal) => return Err(refusal.into()),
+            SlotResponse::Queued(waiting) => waiting,
         };
         match timeout_at(self.deadline.into(), waiting).await {
             Ok(Ok(Ok(slot))) => Ok(PoolSlot::new(slot)),
@@ -121,7 +125,7 @@
             return Err(self.deadline_passed("before it was called"));
         }
         self.check_claim(now)?;
-        let ask = PickAsk { pool: &self.stage.pool, prefix, exclude: &attempts.tried, left };
+        let ask = PickRequest { pool: &self.stage.pool, prefix, exclude: &attempts.tried, left };
         Ok(self.core.router.pick(&ask, now, &mut rand::rng())?)
     }
 
@@ -188,7 +192,7 @@
     pub(crate) fn succeeded(&self, pick: &Pick, first_byte: Duration, used: Used) {
         let Used { total, tokens, busy } = used;
         let end = CallEnd::Ok { first_byte, total, tokens };
-        self.core.router.ended(pick, end, Instant::now());
+        self.core.router.call_ended(pick, end, Instant::now());
         self.core.router.charge(&self.request.ask.customer, tokens, Instant::now());
         self.core.metrics.call_used(&self.stage.pool, total);
         self.core.usage.call_used(&self.account(), busy, tokens);
@@ -208,7 +212,7 @@
             "call to an upstream failed: {error}");
         let CallError { fault, sent, .. } = error;
         let (end, label) = call_end(&fault);
-        self.core.router.ended(upstream, end, Instant::now());
+        self.core.router.call_ended(upstream, end, Instant::now());
         self.core.metrics.call_ended(&self.stage.pool, label);
         let repeatable = self.stage.repeatable;
         match sent {
@@ -228,7 +232,7 @@
 
     /// Records a call whose result is no longer needed.
     pub(crate) fn abandoned(&self, pick: &Pick, time: Duration) {
-        self.core.router.ended(pick, CallEnd::Abandoned, Instant::now());
+        self.core.router.call_ended(pick, CallEnd::Abandoned, Instant::now());
         self.core.metrics.call_ended(&self.stage.pool, "abandoned");
         self.core.usage.call_wasted(&self.account(), time);
     }
@@ -260,7 +264,7 @@
         }
         if !matches!(fault, Fault::Connect(_) | Fault::Leaving) {
             let left = self.deadline.saturating_duration_since(Instant::now());
-            let allowed = self.core.router.may_retry(&self.stage.pool, left, Instant::now());
+            let allowed = self.core.router.spend_retry(&self.stage.pool, left, Instant::now());
             allowed.map_err(|refusal| self.exhausted(fault).retry_after(refusal.retry_after))?;
         }
         self.core.metrics.extra_call(&self.stage.pool, "retry");
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -9,7 +9,7 @@
 use types::{StepResult, VmName};
 use wire::{Hello, Kind, Listener, Secret};
 
-use crate::batch::{Batches, Owner, OwnerConfig, accept};
+use crate::batch::{BatchClient, Owner, OwnerConfig, accept};
 use crate::budget::{Budget, BudgetSpec};
 use crate::dialect::Dialect;
 use crate::drain::Phase;
@@ -102,9 +102,9 @@
         let owner = Owner::spawn(OwnerConfig { shared: Arc::clone(&shared) });
         tokio::spawn(accept(listener, owner.clone(), follower.state()));
         let (relays, own) = (follower.relays(), config.address);
-        let batches = Batches::new(Arc::clone(&shared), owner, secret, hello, own, relays);
+        let batches = BatchClient::new(Arc::clone(&shared), owner, secret, hello, own, relays);
         let batches = Arc::new(batches);
-        tokio::spawn(Arc::clone(&batches).ask_around(follower.state()));
+        tokio::spawn(Arc::clone(&batches).subscribe_news(follower.state()));
         let streams = Arc::new(Streams { shared: Arc::clone(&shared), batches });
         tokio::spawn(Arc::clone(&shared).follow_news(follower.state()));
         let loads = Arc::clone(&shared).exchange_loads(follower.reports(), follower.total_loads());
--- a/crates/gateway/src/stages.rs
+++ b/crates/gateway/src/stages.rs
@@ -8,7 +8,7 @@
 use registry::RequestDigest;
 use tokio::time::Instant;
 
-use crate::batch::{Batches, JobSpec};
+use crate::batch::{BatchClient, JobSpec};
 use crate::dialect::{Dialect, Handle, PieceFailure, PieceInput, Segments};
 use crate::phases::{Phases, StagePhase};
 use crate::plan::{Plan, Route};
@@ -38,7 +38,7 @@
 
 /// Results of stages, which are freed when this is dropped.
 pub(crate) struct Inputs<D: Dialect> {
-    batches: Arc<Batches<D>>,
+    batches: Arc<BatchClient<D>>,
     handles: Vec<Handle>,
     /// When the upstreams that keep the results drop them.
     expires: Option<Instant>,
@@ -48,7 +48,7 @@
 
 impl<D: Dialect> Inputs<D> {
     /// Creates an empty set of results.
-    pub(crate) fn none(batches: Arc<Batches<D>>) -> Self {
+    pub(crate) fn none(batches: Arc<BatchClient<D>>) -> Self {
         Self { batches, handles: Vec::new(), expires: None, phases: Phases::default() }
     }
 
@@ -79,7 +79,7 @@
 
 /// Runs all stages, and returns the results of those on which no other stage depends.
 pub(crate) async fn run<D: Dialect>(
-    batches: &Arc<Batches<D>>,
+    batches: &Arc<BatchClient<D>>,
     run: &StageRun<'_>,
 ) -> Result<Inputs<D>, StageFailure> {
     let count = run.route.stages.len();
@@ -150,7 +150,7 @@
 }
 
 fn spec<D: Dialect>(
-    batches: &Batches<D>,
+    batches: &BatchClient<D>,
     run: &StageRun<'_>,
     stage: usize,
     done: &[Option<Inputs<D>>],
@@ -185,9 +185,9 @@
         stage: stage as u32,
         pieces,
         input,
-        size: it.size,
+        result_bytes: it.size,
         domain,
-        weight,
+        transfer_bytes: weight,
         rank: run.rank,
         due,
         // If pieces waited longer than their inputs are kept, their call would be in vain.
