--- a/crates/control/examples/commit_rate.rs
+++ b/crates/control/examples/commit_rate.rs
@@ -1,8 +1,8 @@
-//! Measures commits with real syncs: members of one process on loopback, data folders below the
-//! folder given as the first argument, the number of members as the second.
+//! Measures commits with real disk syncs, with all members in one process on loopback. The first
+//! argument is a folder in which the data folders are created, the second is the number of members.
 //!
-//! It prints the latency of one change at a time, the rate of claims by the number under way at
-//! once, and the time from the end of a leader to the next accepted change.
+//! Prints the latency of sequential changes, the rate of claims for several numbers of concurrent
+//! claims, and the time from the end of a leader to the next accepted change.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -17,19 +17,19 @@
 use wire::session::{ControlMessage, EntryMessage};
 use wire::{Hello, Kind, Secret};
 
-/// Changes made one after the other.
+/// The number of sequential changes.
 const CHANGES: u64 = 300;
 
-/// How long claims are made at each concurrency.
-const SPAN: Duration = Duration::from_secs(4);
+/// How long claims are sent at each concurrency.
+const CLAIM_DURATION: Duration = Duration::from_secs(4);
 
-/// How long members are left alone.
-const REST: Duration = Duration::from_secs(10);
+/// How long the idle members are measured.
+const IDLE_DURATION: Duration = Duration::from_secs(10);
 
-/// The unit of processor time in `/proc/self/stat`.
-const TICKS_A_SECOND: f64 = 100.0;
+/// The clock ticks per second in `/proc/self/stat`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Leaders that are ended.
+/// The number of leaders that are stopped.
 const TRIALS: usize = 30;
 
 #[tokio::main]
@@ -38,15 +38,15 @@
     let folder = arguments.next().expect("name a folder on a disk");
     let members: usize =
         arguments.next().and_then(|it| it.parse().ok()).expect("name the number of members");
-    let mut cluster = Cluster::below(&folder, members);
+    let mut cluster = Cluster::new_in(&folder, members);
     cluster.log_size(8 << 20);
     let names: Vec<String> = (1..=members).map(|it| format!("c{it}")).collect();
     let voters: Vec<&str> = names.iter().map(String::as_str).collect();
     cluster.init(&voters).await;
-    println(&rest(members).await);
+    println(&idle_usage(members).await);
     println(&format!("{members} members, {}", commit_latency(&cluster).await));
-    for under_way in [1, 8, 64, 256] {
-        println(&claim_rate(&cluster, under_way).await);
+    for concurrency in [1, 8, 64, 256] {
+        println(&claim_rate(&cluster, concurrency).await);
     }
     println(&failover(&mut cluster, &voters).await);
 }
@@ -60,20 +60,21 @@
     format!("6f1c1f6e-6f0f-4a63-8a6b-{number:012x}")
 }
 
-fn spread(mut times: Vec<Duration>) -> String {
+fn percentiles(mut times: Vec<Duration>) -> String {
     times.sort();
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize].as_secs_f64() * 1e3;
-    let (half, most, nearly) = (at(0.5), at(0.95), at(0.99));
-    let last = at(1.0);
-    format!("p50 {half:.1} ms, p95 {most:.1} ms, p99 {nearly:.1} ms, longest {last:.1} ms")
+    let (p50, p95, p99) = (at(0.5), at(0.95), at(0.99));
+    let max = at(1.0);
+    format!("p50 {p50:.1} ms, p95 {p95:.1} ms, p99 {p99:.1} ms, longest {max:.1} ms")
 }
 
-/// Measures the processor time and memory of members that only keep in touch.
-async fn rest(members: usize) -> String {
-    let from = processor_ticks();
-    tokio::time::sleep(REST).await;
-    let ticks = processor_ticks() - from;
-    let share = ticks as f64 / TICKS_A_SECOND / REST.as_secs_f64() * 100.0 / members as f64;
+/// Measures the processor time and memory of idle members.
+async fn idle_usage(members: usize) -> String {
+    let start = processor_ticks();
+    tokio::time::sleep(IDLE_DURATION).await;
+    let ticks = processor_ticks() - start;
+    let share =
+        ticks as f64 / TICKS_PER_SECOND / IDLE_DURATION.as_secs_f64() * 100.0 / members as f64;
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let memory = status.lines().find(|it| it.starts_with("VmRSS")).unwrap_or_default().to_owned();
     format!("at rest: {share:.2}% of a core a member; all members together {memory}")
@@ -82,7 +83,7 @@
 fn processor_ticks() -> u64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat.rsplit(')').next().unwrap_or_default().split_whitespace();
-    // The user and system time are the 14th and 15th field; two came before the last bracket.
+    // The user and system times are the fields 14 and 15; two fields come before the last bracket.
     fields.skip(11).take(2).filter_map(|it| it.parse::<u64>().ok()).sum()
 }
 
@@ -90,15 +91,15 @@
     let leader = cluster.leader().await;
     let mut times = Vec::new();
     for number in 0..CHANGES {
-        let from = Instant::now();
+        let start = Instant::now();
         let answer = cluster.change(leader, &id(number + 1), number, "measured").await;
         assert_eq!(answer.status, 200, "{}", answer.body);
-        times.push(from.elapsed());
+        times.push(start.elapsed());
     }
-    format!("{CHANGES} changes one at a time over HTTP: {}", spread(times))
+    format!("{CHANGES} changes one at a time over HTTP: {}", percentiles(times))
 }
 
-async fn claim_rate(cluster: &Cluster, under_way: usize) -> String {
+async fn claim_rate(cluster: &Cluster, concurrency: usize) -> String {
     let leader = cluster.leader().await;
     let vm: VmName = "e1".parse().expect("a name");
     let owner = Incarnation(7);
@@ -111,10 +112,10 @@
     let follow = EntryMessage::Follow { vm: vm.clone(), site, owner, have: Version(0) };
     sender.send(&follow).await.expect("it is sent");
 
-    let room = Arc::new(Semaphore::new(under_way));
+    let permits = Arc::new(Semaphore::new(concurrency));
     let granted = Arc::new(AtomicU64::new(0));
-    let (taken, answered) = (Arc::clone(&room), Arc::clone(&granted));
-    let answers = tokio::spawn(async move {
+    let (taken, answered) = (Arc::clone(&permits), Arc::clone(&granted));
+    let responses = tokio::spawn(async move {
         while let Ok(Some(message)) = receiver.recv().await {
             match message {
                 ControlMessage::Claim { .. } => {
@@ -127,21 +128,21 @@
             }
         }
     });
-    let from = Instant::now();
+    let start = Instant::now();
     let mut ticket = 0;
-    while from.elapsed() < SPAN {
-        room.acquire().await.expect("it is open").forget();
+    while start.elapsed() < CLAIM_DURATION {
+        permits.acquire().await.expect("it is open").forget();
         ticket += 1;
         let customer = "yard".parse().expect("a name");
-        let key = format!("{under_way}-{ticket}").parse().expect("a key");
+        let key = format!("{concurrency}-{ticket}").parse().expect("a key");
         let key = ClaimKey { customer, key };
         let proof = ClaimTicket { vm: vm.clone(), owner, attempt: ticket };
         let request = ClaimRequest { key, fingerprint: [7; 32], ticket: proof };
         sender.send(&EntryMessage::Claim { ticket, request }).await.expect("it is sent");
     }
-    let rate = granted.load(Ordering::Relaxed) as f64 / from.elapsed().as_secs_f64();
-    answers.abort();
-    format!("claims, {under_way} under way at once: {rate:.0}/s")
+    let rate = granted.load(Ordering::Relaxed) as f64 / start.elapsed().as_secs_f64();
+    responses.abort();
+    format!("claims, {concurrency} under way at once: {rate:.0}/s")
 }
 
 async fn failover(cluster: &mut Cluster, voters: &[&str]) -> String {
@@ -150,12 +151,12 @@
         let leader = cluster.leader().await;
         let other = (leader + 1) % voters.len();
         cluster.abort(leader).await;
-        let from = Instant::now();
+        let start = Instant::now();
         let answer = cluster.change(other, &id(version + 1), version, "measured").await;
         assert_eq!(answer.status, 200, "{}", answer.body);
-        times.push(from.elapsed());
+        times.push(start.elapsed());
         cluster.start(leader).await;
         cluster.wait_for_voters(voters).await;
     }
-    format!("{TRIALS} leaders ended, until the next accepted change: {}", spread(times))
+    format!("{TRIALS} leaders ended, until the next accepted change: {}", percentiles(times))
 }
--- a/crates/control/src/address.rs
+++ b/crates/control/src/address.rs
@@ -1,12 +1,12 @@
-//! How the membership names a member.
+//! The addresses of members in the membership.
 
 use serde::{Deserialize, Serialize};
 use types::VmName;
 
-/// How a member is reached; the opaque address of a node in the membership.
+/// The address of a member, which the membership stores as opaque bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Address {
-    /// Its VM; the settings of every member say where that VM is.
+    /// The member's VM. The settings of every member contain the network address of that VM.
     pub vm: VmName,
 }
 
@@ -14,12 +14,12 @@
     /// Encodes the address for the membership.
     ///
     /// # Panics
-    /// Never: a name always encodes.
+    /// Never panics: a name always encodes.
     pub fn encode(vm: &VmName) -> Vec<u8> {
         postcard::to_stdvec(&Self { vm: vm.clone() }).expect("a name encodes")
     }
 
-    /// Decodes an address of the membership.
+    /// Decodes an address of the membership. Returns `None` if the bytes are not a valid address.
     pub fn decode(bytes: &[u8]) -> Option<VmName> {
         postcard::from_bytes::<Self>(bytes).ok().map(|it| it.vm)
     }
--- a/crates/control/src/authority.rs
+++ b/crates/control/src/authority.rs
@@ -1,4 +1,4 @@
-//! What orders to upstreams need of the replicated state.
+//! The connection between orders to upstreams and the replicated state.
 
 use std::time::Duration;
 
@@ -7,20 +7,24 @@
 use tokio::time::timeout;
 use types::{Fence, StepError, StepResult, UnixMillis, UpstreamName};
 
-use crate::ask::{Ask, Told};
 use crate::handle::CoreHandle;
+use crate::request::{LeaderRequest, LeaderResponse};
 
-/// How long a quorum may take.
+/// The timeout for a quorum.
 const QUORUM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Asks this member only: the one that orders must be the one that leads.
+/// Sends requests to this member only, because only the leader may give orders to upstreams.
 pub(crate) struct LeaderAuthority {
     pub(crate) core: CoreHandle,
 }
 
 impl LeaderAuthority {
-    async fn ask(&self, step: &'static str, ask: Ask) -> StepResult<Told> {
-        match timeout(QUORUM_TIMEOUT, self.core.ask(ask)).await {
+    async fn request(
+        &self,
+        step: &'static str,
+        request: LeaderRequest,
+    ) -> StepResult<LeaderResponse> {
+        match timeout(QUORUM_TIMEOUT, self.core.request(request)).await {
             Ok(Ok(told)) => Ok(told),
             Ok(Err(denied)) => Err(StepError::new(step, denied)),
             Err(late) => Err(StepError::new(step, late)),
@@ -35,14 +39,14 @@
             target: target.to_string(),
             at: UnixMillis::now(),
         };
-        let told = self.ask("commit order", Ask::Command(Box::new(command))).await?;
+        let told = self.request("commit order", LeaderRequest::Command(Box::new(command))).await?;
         match told {
-            Told::Reply(_, Reply::Fence(fence)) => Ok(fence),
+            LeaderResponse::Reply(_, Reply::Fence(fence)) => Ok(fence),
             _ => Err(StepError::new("commit order", "unexpected reply").at(upstream)),
         }
     }
 
     async fn confirm(&self) -> StepResult<()> {
-        self.ask("confirm leadership", Ask::Read).await.map(|_| ())
+        self.request("confirm leadership", LeaderRequest::Read).await.map(|_| ())
     }
 }
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -17,43 +17,44 @@
 use types::{StepError, StepResult};
 use wire::{Datagrams, Hello, Kind, Listener, Secret};
 
-use crate::ask::Ask;
-use crate::asker::Asker;
+use crate::announcements::PeerAnnouncements;
 use crate::authority::LeaderAuthority;
+use crate::background::{self, UsageReceivers, UsageSender};
 use crate::core::{self, CoreConfig};
-use crate::duties::{self, Inlet, Outlets};
 use crate::folder;
 use crate::identity::Identity;
 use crate::inbound;
-use crate::member::{Founding, Member, Services, announce};
+use crate::leader_client::LeaderClient;
+use crate::member::{InitGuard, Member, Services, announce};
 use crate::metrics::Metrics;
 use crate::operators::Operators;
 use crate::peers::{Dialer, PeerOutbox, Peers};
 use crate::report::Report;
-use crate::roster::Roster;
+use crate::request::LeaderRequest;
 use crate::server::HttpServer;
 use crate::sessions::Sessions;
 
-/// How long a draining leader waits for another to lead: the heir's disk has to write what is on the way
-/// to it and then its vote, and another member's disk its vote.
-const HANDOVER: Duration = Duration::from_secs(20);
+/// How long a draining leader waits until another member leads. The target's disk has to write the
+/// entries in flight and then its vote, and the disk of another member has to write that member's
+/// vote.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The pause before leadership is looked at again.
-const HANDOVER_PAUSE: Duration = Duration::from_millis(20);
+/// The interval at which the leader is polled during a transfer.
+const TRANSFER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long entries have to move to another member.
-const LEAVE: Duration = Duration::from_secs(1);
+/// How long entries may take to move to another member.
+const ENTRY_LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The folder of the use by stage, in the data folder.
-const USE_FOLDER: &str = "use";
+/// The name of the folder for stage usage in the data folder.
+const USAGE_FOLDER: &str = "use";
 
 /// How long the core loop may take to end.
-const END: Duration = Duration::from_secs(5);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Times that a running system need not change, but tests shorten.
+/// Timeouts that a running system need not change and tests shorten.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// How long a voter is silent until it counts as lost for good and a spare replaces it.
+    /// How long a voter may be silent before it counts as lost for good and a spare replaces it.
     pub lost_after: Duration,
 }
 
@@ -63,7 +64,8 @@
     }
 }
 
-/// The running control program. Dropping it leaves it running; [`Control::drain`] ends it.
+/// The running control program. Dropping this handle leaves the program running; [`Control::drain`]
+/// ends it.
 pub struct Control {
     member: Arc<Member>,
     http: HttpServer,
@@ -74,35 +76,35 @@
 /// Starts the control program on the current tokio runtime.
 ///
 /// # Errors
-/// Where its settings lack the part for control, the data folder cannot be trusted, or an address
-/// cannot be bound.
+/// Returns an error if the settings lack the control part, the data folder cannot be used safely,
+/// or an address cannot be bound.
 pub async fn spawn(settings: NodeSettings) -> StepResult<Control> {
     spawn_with(settings, Timing::default()).await
 }
 
-/// Starts the control program with other times than the usual.
+/// Starts the control program with other timeouts than the default ones.
 ///
 /// # Errors
-/// As [`spawn`].
+/// Returns the same errors as [`spawn`].
 pub async fn spawn_with(settings: NodeSettings, timing: Timing) -> StepResult<Control> {
-    let (part, wire) = parts(&settings)?;
+    let (part, wire) = node_parts(&settings)?;
     let secret = Secret::new(settings.secret.as_bytes())?;
-    let began = Instant::now();
+    let started = Instant::now();
     let opened = folder::open(&part.data, &settings.vm)?;
     let node = opened.id;
-    // A disk that stalls holds up the start here and nowhere else.
-    log::info!(folder:% = part.data.display(), node:% = node, ms = began.elapsed().as_millis() as u64;
+    // Logs the duration, because a stalled disk delays the start at this point only.
+    log::info!(folder:% = part.data.display(), node:% = node, ms = started.elapsed().as_millis() as u64;
         "opened the data folder");
-    let me = Hello { kind: Kind::Member, vm: settings.vm.clone(), node: node.0 };
-    let listener = Listener::bind(wire.wire, &secret, me.clone()).await?;
+    let hello = Hello { kind: Kind::Member, vm: settings.vm.clone(), node: node.0 };
+    let listener = Listener::bind(wire.wire, &secret, hello.clone()).await?;
     let bound = listener.address();
     let datagrams = Datagrams::bind(bound, &secret).await?;
 
     let metrics = Arc::new(Metrics::new().map_err(|e| StepError::new("register metrics", e))?);
     let others: Vec<settings::Member> =
         settings.members.iter().filter(|it| it.vm != settings.vm).cloned().collect();
-    let roster = Arc::new(Roster::default());
-    let peers = Arc::new(Peers::new(&others, Arc::clone(&roster)));
+    let announcements = Arc::new(PeerAnnouncements::default());
+    let peers = Arc::new(Peers::new(&others, Arc::clone(&announcements)));
     let identity = Arc::new(ArcSwapOption::empty());
     let config = CoreConfig {
         vm: settings.vm.clone(),
@@ -116,17 +118,18 @@
         let reason = match result {
             Ok(()) => "drained".to_owned(),
             Err(e) => {
-                log::error!("member stops: {e}");
+                log::error!("the member stops after a failure: {e}");
                 e.to_string()
             }
         };
         ended_to.send_replace(Some(reason));
     })?;
 
-    let asker = Asker { vm: settings.vm.clone(), core: core.clone(), peers: Arc::clone(&peers) };
-    let (own_inlet, own) = Inlet::new();
-    let (inlet, passed) = Inlet::new();
-    let sessions = Arc::new(Sessions::new(asker.clone(), own_inlet.sender()));
+    let leader_client =
+        LeaderClient { vm: settings.vm.clone(), core: core.clone(), peers: Arc::clone(&peers) };
+    let (own_usage_sender, own) = UsageSender::new();
+    let (usage_sender, forwarded) = UsageSender::new();
+    let sessions = Arc::new(Sessions::new(leader_client.clone(), own_usage_sender.sender()));
     let (fleet, digests) = Fleet::spawn(
         FleetConfig { platform: part.platform },
         LeaderAuthority { core: core.clone() },
@@ -136,43 +139,59 @@
         identity,
         core,
         peers,
-        roster,
-        asker,
+        announcements,
+        leader_client,
         sessions,
-        report: Report::open(part.data.join(USE_FOLDER)),
+        report: Report::open(part.data.join(USAGE_FOLDER)),
         fleet,
         metrics,
         services: Services::default(),
-        founding: Founding::default(),
-        drains: AtomicBool::new(false),
+        init_guard: InitGuard::default(),
+        is_draining: AtomicBool::new(false),
         stopped: stopped.clone(),
         ended: CancellationToken::new(),
-        hindrance: ArcSwapOption::empty(),
+        step_failure: ArcSwapOption::empty(),
         settings,
     });
 
     let operators = Arc::new(Operators { member: Arc::clone(&member) });
     let http = HttpServer::bind(wire.http, operators)?;
-    let mut tasks = member.peers.dial(dialer(&member, secret, me));
+    let mut tasks = member.peers.dial(dialer(&member, secret, hello));
     let published = member.core.published();
-    let m = || Arc::clone(&member);
-    let outlets = Outlets { own, passed };
-    tasks.push(tokio::spawn(duties::watch_end(m())));
-    tasks.push(spawn_duty(&member, "announce", duties::announce(m())));
-    tasks.push(spawn_duty(&member, "members", duties::keep_members(m(), timing.lost_after)));
-    tasks.push(spawn_duty(&member, "fleet", duties::keep_fleet(m(), published)));
-    tasks.push(spawn_duty(&member, "digests", duties::pass_digests(m(), digests)));
-    tasks.push(spawn_duty(&member, "entries", duties::keep_entries(m(), outlets)));
-    tasks.push(spawn_duty(&member, "use by stage", duties::save_report(m())));
-    tasks.push(spawn_duty(&member, "loads", inbound::take_loads(m(), datagrams)));
-    tasks.push(spawn_duty(&member, "listener", inbound::accept(m(), inlet, listener)));
+    let shared = || Arc::clone(&member);
+    let usage_receivers = UsageReceivers { own, forwarded };
+    tasks.push(tokio::spawn(background::watch_core(shared())));
+    tasks.push(spawn_background(&member, "announce", background::announce(shared())));
+    tasks.push(spawn_background(
+        &member,
+        "members",
+        background::reconcile_members(shared(), timing.lost_after),
+    ));
+    tasks.push(spawn_background(&member, "fleet", background::update_fleet(shared(), published)));
+    tasks.push(spawn_background(
+        &member,
+        "digests",
+        background::forward_digests(shared(), digests),
+    ));
+    tasks.push(spawn_background(
+        &member,
+        "entries",
+        background::manage_entries(shared(), usage_receivers),
+    ));
+    tasks.push(spawn_background(&member, "use by stage", background::save_report(shared())));
+    tasks.push(spawn_background(&member, "loads", inbound::take_loads(shared(), datagrams)));
+    tasks.push(spawn_background(
+        &member,
+        "listener",
+        inbound::accept(shared(), usage_sender, listener),
+    ));
     log::info!(vm:% = member.vm(), wire:% = bound, http:% = http.address(); "control runs");
     Ok(Control { member, http, wire: bound, tasks })
 }
 
-/// Runs what a member does by itself. A fault in it ends the member: one that no longer looks
-/// after its entries or members, and shows nothing of it, is worse than one that is restarted.
-fn spawn_duty(
+/// Runs a background task. A panic in it stops the member, because a member that no longer looks
+/// after its entries or the membership, without showing it, is worse than one that is restarted.
+fn spawn_background(
     member: &Arc<Member>,
     name: &'static str,
     duty: impl Future<Output = ()> + Send + 'static,
@@ -185,58 +204,59 @@
     })
 }
 
-fn parts(settings: &NodeSettings) -> StepResult<(ControlPart, settings::Member)> {
-    let fault = |why: &str| StepError::new("read settings", why.to_owned()).at(&settings.vm);
-    let part = settings.control.clone().ok_or_else(|| fault("add the part \"control\""))?;
+fn node_parts(settings: &NodeSettings) -> StepResult<(ControlPart, settings::Member)> {
+    let error = |why: &str| StepError::new("read settings", why.to_owned()).at(&settings.vm);
+    let part = settings.control.clone().ok_or_else(|| error("add the part \"control\""))?;
     let member = settings.members.iter().find(|it| it.vm == settings.vm);
-    let member = member.cloned().ok_or_else(|| fault("add this VM to \"members\""))?;
+    let member = member.cloned().ok_or_else(|| error("add this VM to \"members\""))?;
     Ok((part, member))
 }
 
-fn dialer(member: &Arc<Member>, secret: Secret, me: Hello) -> Dialer {
+fn dialer(member: &Arc<Member>, secret: Secret, hello: Hello) -> Dialer {
     let (vm, node) = (member.vm().clone(), member.node);
     let identity: Arc<ArcSwapOption<Identity>> = Arc::clone(&member.identity);
     let sessions = Arc::clone(&member.sessions);
     let announce = Box::new(move || announce(&vm, node, &identity, &sessions));
-    Dialer { secret, me, announce }
+    Dialer { secret, me: hello, announce }
 }
 
 impl Control {
-    /// Returns the address of the operators' HTTP side.
+    /// Returns the address of the operators' HTTP API.
     pub fn http_address(&self) -> SocketAddr {
         self.http.address()
     }
 
-    /// Returns the address for entries and members.
+    /// Returns the address to which entries and members connect.
     pub fn wire_address(&self) -> SocketAddr {
         self.wire
     }
 
-    /// Waits until the member has stopped, and returns why. It stops by itself where the disk
-    /// fails: it does not go on from memory.
+    /// Waits until the member has stopped and returns the reason. The member stops by itself if its
+    /// disk fails, rather than continuing with state in memory only.
     pub async fn stopped(&self) -> String {
         let mut stopped = self.member.stopped.clone();
         let reason = stopped.wait_for(Option::is_some).await;
         reason.ok().and_then(|it| it.clone()).unwrap_or_else(|| "core loop ended".to_owned())
     }
 
-    /// Ends the program: leadership is handed over first, then entries are told to follow another
-    /// member, then all ends.
+    /// Ends the program: transfers leadership, then tells entries to follow another member, then
+    /// stops everything.
     pub async fn drain(mut self) {
-        self.member.drains.store(true, Ordering::SeqCst);
-        self.hand_over().await;
+        self.member.is_draining.store(true, Ordering::SeqCst);
+        self.transfer_leadership().await;
         self.member.sessions.leave();
-        duties::save_report_once(&self.member).await;
-        let left = async {
+        background::save_report_once(&self.member).await;
+        let all_left = async {
             while !self.member.sessions.entries().is_empty() {
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        let _ = timeout(LEAVE, left).await;
+        let _ = timeout(ENTRY_LEAVE_TIMEOUT, all_left).await;
         self.end().await;
     }
 
-    /// Ends the program at once, as a crash would, but for what the kernel still holds.
+    /// Ends the program at once, as a crash would, except that the kernel still completes pending
+    /// I/O.
     pub async fn abort(mut self) {
         self.end().await;
     }
@@ -244,7 +264,7 @@
     async fn end(&mut self) {
         self.http.stop().await;
         self.member.core.stop();
-        let _ = timeout(END, self.stopped()).await;
+        let _ = timeout(SHUTDOWN_TIMEOUT, self.stopped()).await;
         self.member.ended.cancel();
         for task in self.tasks.drain(..) {
             task.abort();
@@ -252,22 +272,24 @@
         }
     }
 
-    /// Hands leadership over, if this member leads and is not alone; returns once another leads,
-    /// or after twenty seconds.
-    pub async fn hand_over(&self) {
+    /// Transfers leadership if this member leads and is not the only voter. Returns once another
+    /// member leads, or after 20 seconds.
+    pub async fn transfer_leadership(&self) {
         let core = &self.member.core;
         if !core.view().leads() || core.view().membership.voters.len() < 2 {
             return;
         }
-        let by = Instant::now() + HANDOVER;
+        let deadline = Instant::now() + TRANSFER_TIMEOUT;
         while core.view().leader.is_none_or(|it| it == self.member.node) {
-            if Instant::now() >= by {
-                return log::warn!("leadership could not be handed over in time");
+            if Instant::now() >= deadline {
+                return log::warn!(
+                    "leadership was not transferred in time; draining continues without it"
+                );
             }
             if core.view().leads() {
-                let _ = core.ask(Ask::Transfer(None)).await;
+                let _ = core.request(LeaderRequest::Transfer(None)).await;
             }
-            sleep(HANDOVER_PAUSE).await;
+            sleep(TRANSFER_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -1,14 +1,15 @@
-//! The loop that owns consensus node and state, on a thread of its own; another one writes to the disk.
+//! The loop that owns the consensus node and the replicated state, on its own thread. A second
+//! thread writes to the disk.
 //!
-//! A turn takes every input that waits, orders at most one write, sends, applies and answers. Only a
-//! vote, and the acknowledgement of entries, wait for the write; all that came while it was under way
-//! goes into the next one. After a stall of the thread the inputs that came meanwhile are taken before
-//! the clock ticks, and a stall counts as one tick, so a node that slept does not call an election over
-//! heartbeats that wait in its queue.
+//! Each iteration takes all waiting inputs, starts at most one write, sends messages, applies
+//! entries and responds to requests. Only votes and acknowledgements of entries wait for the write.
+//! Inputs that arrive during a write go into the next one. After the thread was stalled, the loop
+//! takes the waiting inputs before it advances the clock, and the stall counts as one tick. A node
+//! that was paused therefore does not start an election while heartbeats wait in its queue.
 
-mod asks;
-mod founding;
-mod turn;
+mod bootstrap;
+mod ready;
+mod requests;
 
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -22,44 +23,44 @@
 use tokio::sync::watch;
 use types::{LogIndex, NodeId, StepError, StepResult, VmName};
 
-use crate::ask::Responder;
 use crate::folder::{Opened, TICK};
 use crate::handle::{CoreHandle, INPUT_LIMIT, Input};
 use crate::identity::Identity;
-use crate::image::Image;
 use crate::metrics::Metrics;
 use crate::pending::Pending;
+use crate::request::Responder;
+use crate::state_machine::StateMachine;
 use crate::view::{Published, View};
 
-/// How many inputs one turn takes at most.
+/// The maximum number of inputs taken in one iteration.
 const TURN_LIMIT: usize = 2_048;
 
-/// Carries messages to other nodes; it may drop them.
+/// Sends messages to other nodes. Messages may be dropped.
 pub(crate) trait Outbox: Send + 'static {
-    /// Sends `message` to the node it names, on the VM if the membership tells it.
+    /// Sends `message` to the node it names. `vm` is that node's VM, if the membership contains it.
     fn send(&self, message: Message, vm: Option<VmName>);
 }
 
-/// What the loop needs besides the opened folder.
+/// The loop's configuration, besides the opened data folder.
 pub(crate) struct CoreConfig<O> {
     pub(crate) vm: VmName,
     pub(crate) outbox: O,
     /// The size of the log in bytes at which a snapshot replaces it.
     pub(crate) log_size: u64,
     pub(crate) metrics: Arc<Metrics>,
-    /// Where the loop shows the identity once there is one.
+    /// Holds the identity once the member has one.
     pub(crate) identity: Arc<ArcSwapOption<Identity>>,
 }
 
-/// The loop.
+/// The state of the core loop.
 struct Core<O> {
     config: CoreConfig<O>,
     id: NodeId,
     node: Node,
-    image: Image,
+    machine: StateMachine,
     applied: LogIndex,
-    /// The length of the latest snapshot, in bytes.
-    saved: u64,
+    /// The size of the latest snapshot, in bytes.
+    snapshot_size: u64,
     inputs: Receiver<Input>,
     journal: Journal,
     pending: Pending,
@@ -70,10 +71,10 @@
     published: watch::Sender<Arc<Published>>,
 }
 
-/// Starts the loop; `ended` is called with its result.
+/// Starts the loop and calls `ended` with its result when it stops.
 ///
 /// # Errors
-/// Where no thread can be started.
+/// Returns an error if a thread cannot be started.
 pub(crate) fn spawn<O: Outbox>(
     config: CoreConfig<O>,
     opened: Opened,
@@ -82,21 +83,21 @@
     let (sender, inputs) = sync_channel(INPUT_LIMIT);
     let wake = sender.clone();
     let journal = Journal::spawn(opened.store, move || {
-        // A loop with so many inputs looks by itself.
+        // If the queue is full, the loop runs anyway and checks for finished writes.
         let _ = wake.try_send(Input::Written);
     })?;
     let view = Arc::new(ArcSwap::from_pointee(View::default()));
     let (applied_to, applied) = watch::channel(opened.applied);
-    let (published, receiver) = watch::channel(Arc::new(published(&opened.image)));
+    let (published, receiver) = watch::channel(Arc::new(published(&opened.machine)));
     let handle = CoreHandle { inputs: sender, view: view.clone(), applied, published: receiver };
     config.identity.store(opened.identity.map(Arc::new));
     let mut core = Core {
         config,
         id: opened.id,
         node: opened.node,
-        image: opened.image,
+        machine: opened.machine,
         applied: opened.applied,
-        saved: 0,
+        snapshot_size: 0,
         inputs,
         journal,
         pending: Pending::default(),
@@ -111,8 +112,8 @@
         .spawn(move || {
             let fault = |_| Err(StepError::new("run", "a fault of the program").at("core loop"));
             let result = catch_unwind(AssertUnwindSafe(|| core.run())).unwrap_or_else(fault);
-            core.show_ended();
-            // The folder is free once this member counts as stopped.
+            core.publish_ended_view();
+            // Releases the data folder before the member is reported as stopped.
             drop(core);
             ended(result);
         })
@@ -120,8 +121,8 @@
     Ok(handle)
 }
 
-fn published(image: &Image) -> Published {
-    let state = &image.state;
+fn published(machine: &StateMachine) -> Published {
+    let state = &machine.state;
     let marks = state.marks().keys().cloned().collect();
     Published { version: state.version(), document: state.document().clone(), marks }
 }
@@ -129,59 +130,61 @@
 impl<O: Outbox> Core<O> {
     fn run(&mut self) -> StepResult<()> {
         let mut tick_at = Instant::now() + TICK;
-        self.settle()?;
+        self.process_ready()?;
         loop {
             let wait = tick_at.saturating_duration_since(Instant::now());
-            if !self.take_waiting(wait)? {
+            if !self.receive_inputs(wait)? {
                 return Ok(());
             }
-            self.take_written()?;
+            self.finish_writes()?;
             if Instant::now() >= tick_at {
                 self.node.tick();
                 tick_at = Instant::now() + TICK;
             }
-            self.settle()?;
+            self.process_ready()?;
         }
     }
 
-    /// Takes the inputs that wait, or the first within `wait`; `false` at the end.
-    fn take_waiting(&mut self, wait: Duration) -> StepResult<bool> {
+    /// Handles all waiting inputs, or the first one that arrives within `wait`. Returns `false`
+    /// when the loop is to stop.
+    fn receive_inputs(&mut self, wait: Duration) -> StepResult<bool> {
         let first = match self.inputs.recv_timeout(wait) {
             Ok(input) => input,
             Err(RecvTimeoutError::Timeout) => return Ok(true),
             Err(RecvTimeoutError::Disconnected) => return Ok(false),
         };
-        if !self.take(first)? {
+        if !self.handle_input(first)? {
             return Ok(false);
         }
         for _ in 1..TURN_LIMIT {
             let Ok(input) = self.inputs.try_recv() else {
                 return Ok(true);
             };
-            if !self.take(input)? {
+            if !self.handle_input(input)? {
                 return Ok(false);
             }
         }
         Ok(true)
     }
 
-    fn take(&mut self, input: Input) -> StepResult<bool> {
+    fn handle_input(&mut self, input: Input) -> StepResult<bool> {
         match input {
-            // A folder without an identity takes no part: it could not keep a vote.
-            Input::Step(message) if self.config.identity.load().is_some() => {
+            // A member without a stored identity ignores consensus messages, because it could not
+            // persist a vote.
+            Input::Consensus(message) if self.config.identity.load().is_some() => {
                 self.node.step(message);
             }
-            Input::Step(_) => {}
-            Input::Ask(ask, responder) => self.ask(ask, responder),
-            Input::Look(look) => look(&self.image.state),
-            Input::Found(cluster, responder) => {
-                let founded = self.found(cluster)?;
-                let _ = responder.send(founded);
+            Input::Consensus(_) => {}
+            Input::LeaderRequest(request, responder) => self.handle_request(request, responder),
+            Input::Inspect(inspect) => inspect(&self.machine.state),
+            Input::InitCluster(cluster, responder) => {
+                let result = self.init_cluster(cluster)?;
+                let _ = responder.send(result);
             }
-            Input::Adopt(cluster) => self.adopt(cluster)?,
+            Input::JoinCluster(cluster) => self.join_cluster(cluster)?,
             Input::Written => {}
             Input::Stop => return Ok(false),
-            Input::Fail(name) => {
+            Input::Abort(name) => {
                 return Err(StepError::new("run", "a fault of the program; its log tells").at(name));
             }
         }
--- a/crates/control/src/core/turn.rs
+++ b/crates/control/src/core/ready.rs
@@ -1,4 +1,5 @@
-//! What the node has ready: ordered to be written, sent, applied, answered and shown.
+//! Processes the output of the consensus node: writes, messages, committed entries and confirmed
+//! reads.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,14 +9,15 @@
 
 use super::{Core, Outbox, published};
 use crate::address::Address;
-use crate::ask::{Denied, Told};
-use crate::image::Image;
-use crate::pending::answer;
+use crate::pending::respond;
+use crate::request::{LeaderResponse, RequestError};
+use crate::state_machine::StateMachine;
 use crate::view::View;
 
 impl<O: Outbox> Core<O> {
-    /// Orders writes, sends, applies and answers until the node has nothing more to do.
-    pub(super) fn settle(&mut self) -> StepResult<()> {
+    /// Starts writes, sends messages, applies entries and responds to requests until the node has
+    /// nothing left to process. Then compacts the log if necessary and publishes the new view.
+    pub(super) fn process_ready(&mut self) -> StepResult<()> {
         while self.node.has_work() {
             let mut ready = self.node.ready();
             let messages = self.journal.write(&mut ready)?;
@@ -28,12 +30,12 @@
             self.answer_reads(ready.reads, ready.lost_reads);
         }
         self.compact()?;
-        self.show();
+        self.publish_view();
         Ok(())
     }
 
-    /// Goes on after writes that have ended: what waited for them may go out.
-    pub(super) fn take_written(&mut self) -> StepResult<()> {
+    /// Handles finished writes: sends the messages that had to wait for them.
+    pub(super) fn finish_writes(&mut self) -> StepResult<()> {
         while let Some(saved) = self.journal.saved(&mut self.node)? {
             if saved.compacted {
                 self.config.metrics.snapshots.inc();
@@ -59,9 +61,9 @@
     }
 
     fn install(&mut self, snapshot: &Snapshot) -> StepResult<()> {
-        self.image = Image::restore(snapshot)?;
-        self.saved = snapshot.data.len() as u64;
-        self.pending.cover(snapshot.index);
+        self.machine = StateMachine::restore(snapshot)?;
+        self.snapshot_size = snapshot.data.len() as u64;
+        self.pending.fail_up_to(snapshot.index);
         self.applied = snapshot.index;
         self.publish();
         log::info!(index = snapshot.index.0; "installed a snapshot");
@@ -72,27 +74,27 @@
         if committed.is_empty() {
             return Ok(());
         }
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for entry in committed {
-            let told = match entry.payload {
-                Payload::Empty | Payload::Membership(_) => Told::Done,
+            let response = match entry.payload {
+                Payload::Empty | Payload::Membership(_) => LeaderResponse::Done,
                 Payload::Command(data) => {
-                    Told::Reply(entry.index, self.image.apply(entry.index, &data)?)
+                    LeaderResponse::Reply(entry.index, self.machine.apply(entry.index, &data)?)
                 }
             };
             self.applied = entry.index;
             self.config.metrics.applied.inc();
             if let Some(responder) = self.pending.commit(entry.term, entry.index) {
-                answers.push((responder, told));
+                responses.push((responder, response));
             }
         }
-        // Entries are told before the operator is.
-        if self.is_news() {
+        // Publishes to entries before responding to the operator.
+        if self.has_unpublished_change() {
             self.publish();
         }
         self.applied_to.send_replace(self.applied);
-        for (responder, told) in answers {
-            answer(responder, Ok(told));
+        for (responder, response) in responses {
+            respond(responder, Ok(response));
         }
         Ok(())
     }
@@ -100,52 +102,53 @@
     fn answer_reads(&mut self, reads: Vec<(u64, LogIndex)>, lost: Vec<u64>) {
         for (read, index) in reads {
             if let Some(responder) = self.reads.remove(&read) {
-                answer(responder, Ok(Told::Read(index)));
+                respond(responder, Ok(LeaderResponse::Read(index)));
             }
         }
         for read in lost {
             if let Some(responder) = self.reads.remove(&read) {
-                answer(responder, Err(Denied::NotRun("leadership was lost".to_owned())));
+                respond(responder, Err(RequestError::NotRun("leadership was lost".to_owned())));
             }
         }
     }
 
-    /// Replaces a log by a snapshot once it has grown beyond its limit, and beyond the last
-    /// snapshot: a large state is not written anew for every few records.
+    /// Replaces the log by a snapshot once the log exceeds both its size limit and the size of the
+    /// last snapshot. The second condition keeps a large state from being written again after every
+    /// few records.
     fn compact(&mut self) -> StepResult<()> {
-        let due = self.journal.log_size().0 > self.config.log_size.max(self.saved);
+        let due = self.journal.log_size().0 > self.config.log_size.max(self.snapshot_size);
         if !due || self.journal.compacts() {
             return Ok(());
         }
         let Some(mut snapshot) = self.node.snapshot_head(self.applied) else {
             return Ok(());
         };
-        snapshot.data = self.image.save()?;
-        self.saved = snapshot.data.len() as u64;
+        snapshot.data = self.machine.save()?;
+        self.snapshot_size = snapshot.data.len() as u64;
         self.journal.snapshot(&self.node, snapshot)
     }
 
-    fn is_news(&self) -> bool {
-        let state = &self.image.state;
+    fn has_unpublished_change(&self) -> bool {
+        let state = &self.machine.state;
         let known = self.published.borrow();
         known.version != state.version() || !known.marks.iter().eq(state.marks().keys())
     }
 
     fn publish(&self) {
-        self.published.send_replace(Arc::new(published(&self.image)));
+        self.published.send_replace(Arc::new(published(&self.machine)));
         self.applied_to.send_replace(self.applied);
     }
 
-    /// Shows that this member neither leads nor follows any more.
-    pub(super) fn show_ended(&self) {
+    /// Publishes that this member neither leads nor follows any more.
+    pub(super) fn publish_ended_view(&self) {
         let last = View::clone(&self.view.load());
         let role = Role::Follower;
         let view = View { role, leader: None, settled: false, active: BTreeSet::new(), ..last };
-        self.config.metrics.show(&view);
+        self.config.metrics.set_node_state(&view);
         self.view.store(Arc::new(view));
     }
 
-    pub(super) fn show(&self) {
+    pub(super) fn publish_view(&self) {
         let status = self.node.status();
         let peers = status.peers.iter();
         let view = View {
@@ -155,14 +158,14 @@
             settled: status.settled,
             commit: status.commit,
             applied: self.applied,
-            version: self.image.state.version(),
+            version: self.machine.state.version(),
             membership: self.node.membership().clone(),
             progress: peers.clone().map(|(node, it)| (*node, it.matched)).collect(),
             active: peers.filter(|(_, it)| it.active).map(|(node, _)| *node).collect(),
-            roll: self.image.roll.clone(),
+            overrides: self.machine.overrides.clone(),
         };
         if **self.view.load() != view {
-            self.config.metrics.show(&view);
+            self.config.metrics.set_node_state(&view);
             self.view.store(Arc::new(view));
         }
     }
--- a/crates/control/src/digest.rs
+++ b/crates/control/src/digest.rs
@@ -1,4 +1,4 @@
-//! The load digest on its way from the leader to the entries.
+//! The load digest that the leader distributes to the entries.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,10 +6,10 @@
 use tokio::sync::broadcast;
 use types::{Digest, UpstreamLoad, UpstreamName};
 
-/// How many deltas a session may lag behind before it gets the whole table anew.
+/// The number of deltas by which a session may lag before it is sent the full table again.
 const LAG_LIMIT: usize = 64;
 
-/// The latest load of every upstream, and the deltas as they come.
+/// The latest load of every upstream, and a channel for the deltas.
 pub(crate) struct DigestTable {
     table: Mutex<Table>,
     deltas: broadcast::Sender<Arc<Digest>>,
@@ -31,8 +31,8 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a delta of the leader and passes it on under this process's own sequence, for two
-    /// leaders' sequences do not compare.
+    /// Applies a delta from the leader and passes it on with this process's own sequence number,
+    /// because the sequence numbers of two leaders are not comparable.
     pub(crate) fn take(&self, digest: Digest) {
         let delta = {
             let mut table = self.lock();
@@ -51,11 +51,11 @@
         self.lock().loads.values().cloned().collect()
     }
 
-    /// Returns the whole table and the deltas that follow it.
+    /// Returns the full table and a receiver of the deltas that follow it.
     pub(crate) fn follow(&self) -> (Digest, broadcast::Receiver<Arc<Digest>>) {
         let table = self.lock();
         let loads = table.loads.values().cloned().collect();
-        let whole = Digest { sequence: table.sequence, loads, entries: table.entries };
-        (whole, self.deltas.subscribe())
+        let full = Digest { sequence: table.sequence, loads, entries: table.entries };
+        (full, self.deltas.subscribe())
     }
 }
--- a/crates/control/src/folder/mod.rs
+++ b/crates/control/src/folder/mod.rs
@@ -1,5 +1,4 @@
-//! The data folder as consensus sees it: records are log entries, and what was recovered becomes
-//! a node and an image.
+//! Opens the data folder and restores the consensus node and the state machine from it.
 
 use std::path::Path;
 use std::time::Duration;
@@ -9,76 +8,78 @@
 use types::{LogIndex, NodeId, StepError, StepResult, Term, VmName};
 
 use crate::address::Address;
-use crate::identity::{Identity, draw_node};
-use crate::image::Image;
+use crate::identity::{Identity, random_node_id};
+use crate::state_machine::StateMachine;
 
-/// The length of one tick of the consensus node.
+/// The duration of one tick of the consensus node.
 pub(crate) const TICK: Duration = Duration::from_millis(50);
 
-/// The shortest election timeout, in ticks: far above a usual sync, and short enough that a
-/// leader's death is over within two seconds.
+/// The shortest election timeout, in ticks. It is far longer than a usual sync, and short enough
+/// that the cluster recovers from the loss of a leader within two seconds.
 const ELECTION_TICKS: u32 = 14;
 
-/// The time between heartbeats, in ticks.
+/// The heartbeat interval, in ticks.
 const HEARTBEAT_TICKS: u32 = 2;
 
-/// After how long a leader hands over whose disk lacks what others hold, in ticks.
+/// The time, in ticks, after which a leader transfers leadership if its disk lacks entries that the
+/// other members have stored.
 const LAG_TICKS: u32 = 100;
 
-/// After how long a member counts as silent whose disk does not answer, in ticks.
+/// The time, in ticks, after which a member whose disk does not respond counts as silent.
 const STALL_TICKS: u32 = 200;
 
-/// How long a handover may take while the heir answers, in ticks: the heir's disk may have to write
-/// what is on the way to it, and its vote.
+/// The maximum duration of a leadership transfer while the target responds, in ticks. The target's
+/// disk may have to write the entries in flight and then its vote.
 const TRANSFER_TICKS: u32 = 300;
 
-/// The most entries in one message.
+/// The maximum number of entries in one message.
 const MAX_ENTRIES: usize = 1024;
 
-/// The most bytes of entries in one message.
+/// The maximum size of the entries in one message, in bytes.
 const MAX_BYTES: usize = 1 << 20;
 
 /// The size of one part of a snapshot, in bytes.
 const SNAPSHOT_PART: usize = 256 << 10;
 
-/// What an opened folder gives.
+/// The contents of an opened data folder.
 pub(crate) struct Opened {
     pub(crate) store: Store,
     pub(crate) identity: Option<Identity>,
     pub(crate) id: NodeId,
     pub(crate) node: Node,
-    pub(crate) image: Image,
+    pub(crate) machine: StateMachine,
     pub(crate) applied: LogIndex,
 }
 
 /// Opens the data folder and restores what it holds.
 ///
 /// # Errors
-/// Where the folder is damaged, locked, another VM's, or lost its log.
+/// Returns an error if the folder is damaged, is locked, belongs to another VM, or has lost its
+/// log.
 pub(crate) fn open(folder: &Path, vm: &VmName) -> StepResult<Opened> {
-    let peer = folder.display();
-    let (store, found) =
-        Store::open(folder).map_err(|e| StepError::new("open data folder", e).at(&peer))?;
-    let identity = found.identity.as_deref().map(|it| Identity::decode(it, vm)).transpose()?;
-    let restored = replica::restore(&found)?;
+    let path = folder.display();
+    let (store, recovered) =
+        Store::open(folder).map_err(|e| StepError::new("open data folder", e).at(&path))?;
+    let identity = recovered.identity.as_deref().map(|it| Identity::decode(it, vm)).transpose()?;
+    let restored = replica::restore(&recovered)?;
     let empty = restored.snapshot.is_none() && restored.entries.is_empty();
     if empty && identity.as_ref().is_some_and(|it| it.founder) {
-        // What goes wrong: starting over here would make a second cluster under the same name.
+        // Starting without the log would create a second cluster with the same id.
         let why = "the folder that started the cluster holds no log: init was cut short, or the \
                    log is lost; empty the folder and start again";
-        return Err(StepError::new("open data folder", why).at(&peer));
+        return Err(StepError::new("open data folder", why).at(&path));
     }
-    let id = identity.as_ref().map_or_else(draw_node, |it| it.node);
-    let image = match &restored.snapshot {
-        Some(snapshot) => Image::restore(snapshot)?,
-        None => Image::default(),
+    let id = identity.as_ref().map_or_else(random_node_id, |it| it.node);
+    let machine = match &restored.snapshot {
+        Some(snapshot) => StateMachine::restore(snapshot)?,
+        None => StateMachine::default(),
     };
     let applied = restored.snapshot.as_ref().map_or(LogIndex(0), |it| it.index);
     let node = Node::new(config(id), restored);
-    Ok(Opened { store, identity, id, node, image, applied })
+    Ok(Opened { store, identity, id, node, machine, applied })
 }
 
-/// Returns the parameters of a node.
+/// Returns the configuration of a consensus node.
 pub(crate) fn config(id: NodeId) -> Config {
     Config {
         id,
@@ -95,8 +96,8 @@
     }
 }
 
-/// Returns the beginning of a cluster whose only voter is `id`.
-pub(crate) fn beginning(id: NodeId, vm: &VmName) -> Snapshot {
+/// Returns the initial snapshot of a cluster whose only voter is `id`.
+pub(crate) fn initial_snapshot(id: NodeId, vm: &VmName) -> Snapshot {
     let voters = [(id, Address::encode(vm))].into();
     let membership = Membership { voters, ..Membership::default() };
     Snapshot { index: LogIndex(1), term: Term(1), membership, data: Vec::new() }
--- a/crates/control/src/folder/tests.rs
+++ b/crates/control/src/folder/tests.rs
@@ -2,7 +2,7 @@
 use types::{LogIndex, NodeId, VmName};
 use uuid::Uuid;
 
-use super::{beginning, open};
+use super::{initial_snapshot, open};
 use crate::identity::Identity;
 use crate::protocol::ClusterId;
 
@@ -12,9 +12,9 @@
 
 #[test]
 fn a_folder_is_taken_for_what_it_is() {
-    // Symptom: a cluster's history is gone, and a new one answers in its name.
-    // Sequence: the member that started the cluster starts with its identity but without its log.
-    // Cause: an identity without a log was taken for a cluster that is still to begin.
+    // The member that started the cluster may restart with its identity but without its log. If
+    // this counted as a cluster that has yet to begin, the history would be lost and a new cluster
+    // would answer under the old id.
     struct Case {
         name: &'static str,
         identity: Option<(&'static str, bool)>,
@@ -57,14 +57,15 @@
             store.set_identity(&identity.encode().expect("it encodes")).expect("it is written");
         }
         if begun {
-            let data = replica::encode(&beginning(NodeId(7), &vm("c1"))).expect("it encodes");
+            let data =
+                replica::encode(&initial_snapshot(NodeId(7), &vm("c1"))).expect("it encodes");
             store.install(LogIndex(1), &data).expect("it is written");
         }
         drop(store);
         match (open(folder.path(), &vm("c1")), expected) {
             (Ok(opened), Ok(applied)) => {
                 assert_eq!(opened.applied, applied, "{name}");
-                assert_eq!(opened.id == NodeId(7), identity.is_some(), "{name}: its life");
+                assert_eq!(opened.id == NodeId(7), identity.is_some(), "{name}: its node id");
             }
             (Err(e), Err(why)) => assert!(e.to_string().contains(why), "{name}: {e}"),
             (found, expected) => panic!("{name}: {:?}, {expected:?}", found.map(|it| it.applied)),
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -1,4 +1,4 @@
-//! The way into the core loop.
+//! The handle for sending inputs to the core loop and reading what it publishes.
 
 use std::sync::Arc;
 use std::sync::mpsc::{SyncSender, TrySendError};
@@ -10,34 +10,34 @@
 use tokio::sync::{oneshot, watch};
 use types::LogIndex;
 
-use crate::ask::{Answer, Ask, Denied, Responder};
 use crate::protocol::ClusterId;
+use crate::request::{LeaderRequest, LeaderResult, RequestError, Responder};
 use crate::view::{Published, View};
 
-/// How many inputs may wait for the loop.
+/// The maximum number of inputs that wait for the loop.
 pub(crate) const INPUT_LIMIT: usize = 16_384;
 
-/// What the loop takes.
+/// An input of the core loop.
 pub(crate) enum Input {
-    /// A message of another node.
-    Step(Message),
-    /// A question to this member.
-    Ask(Ask, Responder),
-    /// A look at the applied state.
-    Look(Box<dyn FnOnce(&State) + Send>),
+    /// A message from another consensus node.
+    Consensus(Message),
+    /// A request that this member serves.
+    LeaderRequest(LeaderRequest, Responder),
+    /// A function that reads the applied state.
+    Inspect(Box<dyn FnOnce(&State) + Send>),
     /// Starts a new cluster on this member's empty folder.
-    Found(ClusterId, oneshot::Sender<Result<(), String>>),
+    InitCluster(ClusterId, oneshot::Sender<Result<(), String>>),
     /// Joins a cluster with this member's empty folder.
-    Adopt(ClusterId),
+    JoinCluster(ClusterId),
     /// A write to the data folder has ended.
     Written,
-    /// The end.
+    /// Stops the loop.
     Stop,
-    /// The end, for a fault in what is named.
-    Fail(&'static str),
+    /// Stops the loop because the named background task panicked.
+    Abort(&'static str),
 }
 
-/// The sending side of the loop, and what it shows.
+/// The sending side of the loop's input queue, and the state that the loop publishes.
 #[derive(Clone)]
 pub(crate) struct CoreHandle {
     pub(crate) inputs: SyncSender<Input>,
@@ -52,44 +52,48 @@
         self.view.load_full()
     }
 
-    /// Returns a receiver of every version as it is applied.
+    /// Returns a receiver that gets every service version as it is applied.
     pub(crate) fn published(&self) -> watch::Receiver<Arc<Published>> {
         self.published.clone()
     }
 
-    /// Hands over a message of another node; drops it when the loop is swamped, as a network may.
+    /// Passes a message from another node to the loop. Drops it if the queue is full, as a network
+    /// may do.
     pub(crate) fn step(&self, message: Message) {
-        let _ = self.inputs.try_send(Input::Step(message));
+        let _ = self.inputs.try_send(Input::Consensus(message));
     }
 
-    /// Asks this member.
-    pub(crate) async fn ask(&self, ask: Ask) -> Answer {
+    /// Sends a request to this member.
+    pub(crate) async fn request(&self, request: LeaderRequest) -> LeaderResult {
         let (responder, receiver) = oneshot::channel();
-        match self.inputs.try_send(Input::Ask(ask, responder)) {
+        match self.inputs.try_send(Input::LeaderRequest(request, responder)) {
             Ok(()) => {}
-            Err(TrySendError::Full(_)) => return Err(Denied::NotRun("member is busy".to_owned())),
+            Err(TrySendError::Full(_)) => {
+                return Err(RequestError::NotRun("member is busy".to_owned()));
+            }
             Err(TrySendError::Disconnected(_)) => {
-                return Err(Denied::NotRun("member stopped".to_owned()));
+                return Err(RequestError::NotRun("member stopped".to_owned()));
             }
         }
-        let lost = || Err(Denied::Uncertain("member stopped".to_owned()));
+        let lost = || Err(RequestError::Uncertain("member stopped".to_owned()));
         receiver.await.unwrap_or_else(|_| lost())
     }
 
-    /// Looks at the applied state; `None` if the loop ended.
-    pub(crate) async fn look<T: Send + 'static>(
+    /// Reads the applied state. Returns `None` if the loop has ended.
+    pub(crate) async fn inspect<T: Send + 'static>(
         &self,
-        look: impl FnOnce(&State) -> T + Send + 'static,
+        inspect: impl FnOnce(&State) -> T + Send + 'static,
     ) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
         let job = Box::new(move |state: &State| {
-            let _ = sender.send(look(state));
+            let _ = sender.send(inspect(state));
         });
-        self.inputs.try_send(Input::Look(job)).ok()?;
+        self.inputs.try_send(Input::Inspect(job)).ok()?;
         receiver.await.ok()
     }
 
-    /// Waits until the entry at `index` is applied here; `false` if the loop ended.
+    /// Waits until the entry at `index` is applied by this member. Returns `false` if the loop has
+    /// ended.
     pub(crate) async fn applied(&self, index: LogIndex) -> bool {
         let mut applied = self.applied.clone();
         applied.wait_for(|at| *at >= index).await.is_ok()
@@ -98,31 +102,32 @@
     /// Starts a new cluster on this member's empty folder.
     ///
     /// # Errors
-    /// Where the folder belongs to a cluster already, or the loop ended.
-    pub(crate) async fn found(&self, cluster: ClusterId) -> Result<(), String> {
+    /// Returns an error if the folder already belongs to a cluster or the loop has ended.
+    pub(crate) async fn init_cluster(&self, cluster: ClusterId) -> Result<(), String> {
         let (responder, receiver) = oneshot::channel();
-        let sent = self.inputs.try_send(Input::Found(cluster, responder));
+        let sent = self.inputs.try_send(Input::InitCluster(cluster, responder));
         sent.map_err(|_| "member is busy".to_owned())?;
         receiver.await.unwrap_or_else(|_| Err("member stopped".to_owned()))
     }
 
-    /// Joins a cluster with this member's empty folder; does nothing where it has one.
-    pub(crate) fn adopt(&self, cluster: ClusterId) {
-        let _ = self.inputs.try_send(Input::Adopt(cluster));
+    /// Joins a cluster with this member's empty folder. Does nothing if the member already belongs
+    /// to one.
+    pub(crate) fn join_cluster(&self, cluster: ClusterId) {
+        let _ = self.inputs.try_send(Input::JoinCluster(cluster));
     }
 
-    /// Ends the loop after the inputs that wait already.
+    /// Stops the loop after it has handled the inputs that already wait.
     pub(crate) fn stop(&self) {
         self.end(Input::Stop);
     }
 
-    /// Ends the loop for a fault in what is named.
+    /// Stops the loop because the named background task panicked.
     pub(crate) fn fail(&self, name: &'static str) {
-        self.end(Input::Fail(name));
+        self.end(Input::Abort(name));
     }
 
     fn end(&self, mut input: Input) {
-        // The queue may be full for a moment; the loop empties it without waiting for us.
+        // The queue may be full for a moment. The loop empties it without waiting for this thread.
         while let Err(TrySendError::Full(again)) = self.inputs.try_send(input) {
             input = again;
             std::thread::sleep(Duration::from_millis(1));
--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -1,4 +1,4 @@
-//! Entries that had a session, for the operators.
+//! The entries that had a session recently, for the operators' status.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
@@ -6,25 +6,25 @@
 
 use types::VmName;
 
-use crate::protocol::EntrySeen;
+use crate::protocol::EntryStatus;
 
-/// When each entry was last seen with a session.
+/// The last status of each entry that had a session, and when it was recorded.
 #[derive(Default)]
 pub(crate) struct History {
-    seen: Mutex<BTreeMap<VmName, (EntrySeen, Instant)>>,
+    seen: Mutex<BTreeMap<VmName, (EntryStatus, Instant)>>,
 }
 
 impl History {
-    /// Notes the entries that have a session now.
-    pub(crate) fn note(&self, entries: &[EntrySeen]) {
+    /// Records the entries that have a session now.
+    pub(crate) fn record(&self, entries: &[EntryStatus]) {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         for entry in entries {
             seen.insert(entry.vm.clone(), (entry.clone(), Instant::now()));
         }
     }
 
-    /// Returns the last sighting of every entry, and how long ago it was.
-    pub(crate) fn all(&self) -> Vec<(EntrySeen, Duration)> {
+    /// Returns the last status of every entry and its age.
+    pub(crate) fn all(&self) -> Vec<(EntryStatus, Duration)> {
         let seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         seen.values().map(|(entry, at)| (entry.clone(), at.elapsed())).collect()
     }
--- a/crates/control/src/inbound.rs
+++ b/crates/control/src/inbound.rs
@@ -1,4 +1,4 @@
-//! Connections that other processes dial to this member.
+//! Connections that other processes open to this member.
 
 use std::sync::Arc;
 
@@ -7,20 +7,22 @@
 use wire::loads::LoadNames;
 use wire::{Hello, Kind, Listener};
 
-use crate::ask::Denied;
-use crate::duties::Inlet;
+use crate::background::UsageSender;
 use crate::member::Member;
 use crate::protocol::{ClusterId, MemberMessage, MemberReply, Reply};
+use crate::request::RequestError;
 
-/// How many questions of one member run at once; more wait on its connection.
-const QUESTION_LIMIT: usize = 4096;
+/// The maximum number of concurrent requests of one member.
+const MEMBER_REQUEST_LIMIT: usize = 4096;
 
 /// Accepts connections until the listener stops.
-pub(crate) async fn accept(member: Arc<Member>, inlet: Inlet, mut listener: Listener) {
+pub(crate) async fn accept(member: Arc<Member>, usage_sender: UsageSender, mut listener: Listener) {
     loop {
         let (hello, connection) = match listener.accept().await {
             Ok(accepted) => accepted,
-            Err(e) => return log::info!("accepts no more connections: {e}"),
+            Err(e) => {
+                return log::info!("the listener stopped, no more connections are accepted: {e}");
+            }
         };
         match hello.kind {
             Kind::Entry => {
@@ -28,10 +30,10 @@
                 spawn(&member, session);
             }
             Kind::Member => {
-                let serving = serve(Arc::clone(&member), inlet.clone(), connection);
+                let serving = serve(Arc::clone(&member), usage_sender.clone(), connection);
                 spawn(&member, async move {
                     if let Err(e) = serving.await {
-                        log::debug!(vm:% = hello.vm; "member's connection ended: {e}");
+                        log::debug!(vm:% = hello.vm; "the connection from a member ended: {e}");
                     }
                 });
             }
@@ -39,7 +41,7 @@
     }
 }
 
-/// Runs a connection until it or the member ends.
+/// Runs a connection's task until it or the member ends.
 fn spawn(member: &Member, connection: impl Future<Output = ()> + Send + 'static) {
     let ended = member.ended.clone();
     tokio::spawn(async move {
@@ -50,30 +52,41 @@
     });
 }
 
-/// One member's connection.
+/// A connection from another member.
 struct Inbound {
     member: Arc<Member>,
-    inlet: Inlet,
+    usage_sender: UsageSender,
     hello: Hello,
-    /// The cluster that the other member says it belongs to.
+    /// The cluster to which the other member says it belongs.
     cluster: Option<ClusterId>,
     replies: mpsc::Sender<MemberReply>,
-    room: Arc<Semaphore>,
-    /// The upstreams as the other member numbers them on this connection.
-    names: LoadNames,
+    permits: Arc<Semaphore>,
+    /// The numbers that the other member uses for upstreams on this connection.
+    load_names: LoadNames,
 }
 
-async fn serve(member: Arc<Member>, inlet: Inlet, connection: wire::Connection) -> StepResult<()> {
+async fn serve(
+    member: Arc<Member>,
+    usage_sender: UsageSender,
+    connection: wire::Connection,
+) -> StepResult<()> {
     let hello = connection.hello().clone();
     let (sender, mut receiver) = connection.split::<MemberReply, MemberMessage>();
-    let (replies, mut queue) = mpsc::channel(QUESTION_LIMIT);
-    let room = Arc::new(Semaphore::new(QUESTION_LIMIT));
-    let mut inbound =
-        Inbound { member, inlet, hello, cluster: None, replies, room, names: LoadNames::default() };
+    let (replies, mut queue) = mpsc::channel(MEMBER_REQUEST_LIMIT);
+    let permits = Arc::new(Semaphore::new(MEMBER_REQUEST_LIMIT));
+    let mut inbound = Inbound {
+        member,
+        usage_sender,
+        hello,
+        cluster: None,
+        replies,
+        permits,
+        load_names: LoadNames::default(),
+    };
     loop {
         tokio::select! {
             message = receiver.recv() => match message? {
-                Some(message) => inbound.take(message),
+                Some(message) => inbound.handle(message),
                 None => return Ok(()),
             },
             Some(reply) = queue.recv() => sender.send(&reply).await?,
@@ -82,12 +95,12 @@
 }
 
 impl Inbound {
-    fn take(&mut self, message: MemberMessage) {
+    fn handle(&mut self, message: MemberMessage) {
         match message {
             MemberMessage::Announce(announce) => {
                 if announce.vm == self.hello.vm && announce.node.0 == self.hello.node {
                     self.cluster = announce.cluster;
-                    self.member.roster.hear(announce);
+                    self.member.announcements.record(announce);
                 }
             }
             MemberMessage::Consensus(message) => self.step(message),
@@ -99,57 +112,60 @@
                 let reply = Reply::Report(self.member.report.rows(span));
                 let _ = self.replies.try_send(MemberReply { ticket, reply });
             }
-            MemberMessage::Ask { ticket, .. } if !self.is_ours() => {
-                let denied = Denied::NotRun("the asker is of no cluster or another".to_owned());
-                let reply = Reply::Answer(Err(denied));
+            MemberMessage::LeaderRequest { ticket, .. } if !self.is_same_cluster() => {
+                let error =
+                    RequestError::NotRun("the asker is of no cluster or another".to_owned());
+                let reply = Reply::LeaderResult(Err(error));
                 let _ = self.replies.try_send(MemberReply { ticket, reply });
             }
-            MemberMessage::Ask { ticket, ask } => {
-                // Without room the question is dropped and its asker hears nothing: uncertain.
-                let Ok(permit) = Arc::clone(&self.room).try_acquire_owned() else {
+            MemberMessage::LeaderRequest { ticket, request } => {
+                // At the limit the request is dropped without a reply, which the sender treats as
+                // uncertain.
+                let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() else {
                     return;
                 };
                 let (core, replies) = (self.member.core.clone(), self.replies.clone());
                 tokio::spawn(async move {
-                    let reply = Reply::Answer(core.ask(ask).await);
+                    let reply = Reply::LeaderResult(core.request(request).await);
                     let _ = replies.send(MemberReply { ticket, reply }).await;
                     drop(permit);
                 });
             }
-            _ if !self.is_ours() => {}
+            _ if !self.is_same_cluster() => {}
             MemberMessage::Loads(numbered) => {
-                let Some(digest) = self.names.decode(numbered) else {
-                    let dropped = self.names.dropped();
-                    return log::warn!(vm:% = self.hello.vm, dropped; "a digest was lost");
+                let Some(digest) = self.load_names.decode(numbered) else {
+                    let dropped = self.load_names.dropped();
+                    return log::warn!(vm:% = self.hello.vm, dropped; "dropped a digest that refers to a lost one");
                 };
                 self.member.fleet.heard(&digest);
                 self.member.sessions.digest.take(digest);
             }
-            MemberMessage::Shares { term, whole, shares } => {
-                self.member.sessions.shares.take(term, whole, shares);
+            MemberMessage::Shares { term, is_full, shares } => {
+                self.member.sessions.shares.update(term, is_full, shares);
             }
             MemberMessage::Load(report) => self.member.fleet.entry_load(report),
-            MemberMessage::Usage { vm, report } => self.inlet.usage(vm, report),
+            MemberMessage::Usage { vm, report } => self.usage_sender.send(vm, report),
         }
     }
 
-    /// Passes a consensus message on, if it is of this member's cluster: another cluster's terms
-    /// and logs have nothing to do with this one's. The node itself drops what is for another
-    /// life of this VM.
+    /// Passes a consensus message to the node if it comes from this member's cluster; the terms and
+    /// logs of another cluster are unrelated. The node itself drops messages for another
+    /// incarnation of this VM's data folder.
     fn step(&self, message: consensus::Message) {
-        if self.is_ours() && message.from.0 == self.hello.node {
+        if self.is_same_cluster() && message.from.0 == self.hello.node {
             self.member.core.step(message);
         }
     }
 
-    /// Tells whether the other member belongs to this member's cluster.
-    fn is_ours(&self) -> bool {
-        let mine = self.member.identity.load().as_ref().map(|it| it.cluster);
-        mine.is_some() && mine == self.cluster
+    /// Returns whether the other member belongs to this member's cluster.
+    fn is_same_cluster(&self) -> bool {
+        let own_cluster = self.member.identity.load().as_ref().map(|it| it.cluster);
+        own_cluster.is_some() && own_cluster == self.cluster
     }
 }
 
-/// Takes entries' load reports for as long as the socket works.
+/// Receives the entries' load reports for as long as the socket works. A member that does not lead
+/// forwards them to the leader.
 pub(crate) async fn take_loads(member: Arc<Member>, datagrams: wire::Datagrams) {
     loop {
         match datagrams.recv::<wire::session::LoadReport>().await {
@@ -161,7 +177,7 @@
                 }
             }
             Err(e) => {
-                log::warn!("load reports: {e}");
+                log::warn!("receiving load reports failed; trying again: {e}");
                 tokio::time::sleep(std::time::Duration::from_millis(100)).await;
             }
         }
--- a/crates/control/src/member.rs
+++ b/crates/control/src/member.rs
@@ -1,4 +1,4 @@
-//! What all parts of a running member share.
+//! The state that all parts of a running member share.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,24 +13,24 @@
 use types::{NodeId, Service, SiteName, Version, VmName};
 use uuid::Uuid;
 
-use crate::asker::Asker;
+use crate::announcements::PeerAnnouncements;
 use crate::handle::CoreHandle;
 use crate::identity::Identity;
+use crate::leader_client::LeaderClient;
 use crate::metrics::Metrics;
-use crate::peers::{Peers, Silence};
-use crate::protocol::{Announce, ClusterId, EntrySeen};
+use crate::peers::{NoReply, Peers};
+use crate::protocol::{Announce, ClusterId, EntryStatus};
 use crate::report::Report;
-use crate::roster::Roster;
 use crate::sessions::Sessions;
 use crate::view::Published;
 
-/// For how long a member promises not to start a cluster.
-const RESERVED: Duration = Duration::from_secs(10);
+/// How long a member's promise not to start a cluster lasts.
+const RESERVATION: Duration = Duration::from_secs(10);
 
-/// The pause before a member that is not connected yet is asked again.
-const RESERVE_PAUSE: Duration = Duration::from_millis(50);
+/// The delay before a member that is not connected yet is asked again.
+const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long another member may take to promise it.
+/// How long another member may take to reply with this promise.
 const RESERVE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A running member.
@@ -40,52 +40,54 @@
     pub(crate) identity: Arc<ArcSwapOption<Identity>>,
     pub(crate) core: CoreHandle,
     pub(crate) peers: Arc<Peers>,
-    pub(crate) roster: Arc<Roster>,
-    pub(crate) asker: Asker,
+    pub(crate) announcements: Arc<PeerAnnouncements>,
+    pub(crate) leader_client: LeaderClient,
     pub(crate) sessions: Arc<Sessions>,
     pub(crate) report: Report,
     pub(crate) fleet: Fleet,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) services: Services,
-    pub(crate) founding: Founding,
-    pub(crate) drains: AtomicBool,
-    /// Why the core loop ended, once it has.
+    pub(crate) init_guard: InitGuard,
+    pub(crate) is_draining: AtomicBool,
+    /// The reason why the core loop ended, once it has.
     pub(crate) stopped: watch::Receiver<Option<String>>,
-    /// Ends the connections that were accepted.
+    /// Cancelled to end the accepted connections.
     pub(crate) ended: CancellationToken,
-    /// The latest step of the repair of the membership that did not succeed.
-    pub(crate) hindrance: ArcSwapOption<String>,
+    /// The reason why the latest membership change failed, until one succeeds.
+    pub(crate) step_failure: ArcSwapOption<String>,
 }
 
 impl Member {
-    /// Returns the VM.
+    /// Returns this member's VM.
     pub(crate) fn vm(&self) -> &VmName {
         &self.settings.vm
     }
 
-    /// Makes what the member says of itself, with its entries if told so.
-    pub(crate) fn announce(&self, lists: bool) -> Announce {
-        let whole = announce(&self.settings.vm, self.node, &self.identity, &self.sessions);
-        Announce { entries: whole.entries.filter(|_| lists), ..whole }
+    /// Creates the member's announcement; includes its entries if `with_entries` is set.
+    pub(crate) fn announce(&self, with_entries: bool) -> Announce {
+        let full = announce(&self.settings.vm, self.node, &self.identity, &self.sessions);
+        Announce { entries: full.entries.filter(|_| with_entries), ..full }
     }
 
-    /// Returns every entry that has a session anywhere.
-    pub(crate) fn entries(&self) -> Vec<EntrySeen> {
+    /// Returns every entry that has a session with any member.
+    pub(crate) fn entries(&self) -> Vec<EntryStatus> {
         let mut entries = self.sessions.entries();
-        entries.extend(self.roster.entries());
+        entries.extend(self.announcements.entries());
         entries
     }
 
-    /// Tells whether this member leads and may act as leader.
+    /// Returns whether this member leads and may act as leader.
     pub(crate) fn leads(&self) -> bool {
         let view = self.core.view();
         view.leads() && view.settled
     }
 
-    /// Starts a cluster, once; returns the members that could not be asked.
+    /// Starts a cluster, at most once. Returns the members that could not be asked for their
+    /// promise.
     ///
     /// # Errors
-    /// Where a cluster exists, or another member starts one.
+    /// Returns an error if a cluster exists, if another member is starting one, or if too few
+    /// members reply.
     pub(crate) async fn init(&self) -> Result<Vec<VmName>, String> {
         if self.identity.load().is_some() {
             return Err("a cluster exists: this member belongs to it".to_owned());
@@ -93,25 +95,25 @@
         if self.settings.members.iter().any(|it| it.vm == *self.vm() && it.spare) {
             return Err("this member is a spare; run init at another".to_owned());
         }
-        self.founding.begin()?;
-        let founded = self.found().await;
-        self.founding.end();
-        founded
+        self.init_guard.begin()?;
+        let result = self.reserve_and_start().await;
+        self.init_guard.end();
+        result
     }
 
-    /// Starts a cluster if a majority of the configured members promise not to.
+    /// Starts a cluster if a majority of the configured members promise not to start one.
     ///
-    /// What goes wrong with fewer: a cluster may exist among those that are not heard, or be
-    /// started there at the same time, and operators would have two truths. Of two majorities one
-    /// member is in both, and promises once.
-    async fn found(&self) -> Result<Vec<VmName>, String> {
-        let by = tokio::time::Instant::now() + RESERVE_TIMEOUT;
-        let asked = self.peers.connected().into_iter().map(|(vm, _)| async move {
-            let reply = self.reserve_at(&vm, by).await;
+    /// With fewer promises, a cluster could already exist among the members that did not reply, or
+    /// be started there at the same time, and operators would see two different services. Any two
+    /// majorities share a member, and a member gives its promise to one of them only.
+    async fn reserve_and_start(&self) -> Result<Vec<VmName>, String> {
+        let deadline = tokio::time::Instant::now() + RESERVE_TIMEOUT;
+        let requests = self.peers.connected().into_iter().map(|(vm, _)| async move {
+            let reply = self.reserve_at(&vm, deadline).await;
             (vm, reply)
         });
         let mut unheard = Vec::new();
-        for (vm, reply) in futures_util::future::join_all(asked).await {
+        for (vm, reply) in futures_util::future::join_all(requests).await {
             match reply {
                 Some(Ok(())) => {}
                 Some(Err(why)) => return Err(format!("{vm}: {why}")),
@@ -119,42 +121,42 @@
             }
         }
         let members = self.settings.members.iter().filter(|it| !it.spare);
-        let heard = members.clone().filter(|it| !unheard.contains(&it.vm)).count();
-        if heard * 2 <= members.count() {
+        let replied = members.clone().filter(|it| !unheard.contains(&it.vm)).count();
+        if replied * 2 <= members.count() {
             let names: Vec<&str> = unheard.iter().map(VmName::as_str).collect();
             let names = names.join(", ");
             return Err(format!("a majority of the members must be heard; start or mend {names}"));
         }
-        self.core.found(ClusterId(Uuid::new_v4())).await?;
+        self.core.init_cluster(ClusterId(Uuid::new_v4())).await?;
         Ok(unheard)
     }
 
-    /// Asks one member until it replies; `None` if it does not.
+    /// Asks one member until it replies. Returns `None` if it does not.
     async fn reserve_at(
         &self,
         vm: &VmName,
-        by: tokio::time::Instant,
+        deadline: tokio::time::Instant,
     ) -> Option<Result<(), String>> {
         loop {
-            match self.peers.reserve(vm, by).await {
+            match self.peers.reserve(vm, deadline).await {
                 Ok(reply) => return Some(reply),
-                Err(Silence::Lost) => return None,
-                Err(Silence::Unsent) if tokio::time::Instant::now() >= by => return None,
-                Err(Silence::Unsent) => tokio::time::sleep(RESERVE_PAUSE).await,
+                Err(NoReply::Lost) => return None,
+                Err(NoReply::NotSent) if tokio::time::Instant::now() >= deadline => return None,
+                Err(NoReply::NotSent) => tokio::time::sleep(RESERVE_RETRY_DELAY).await,
             }
         }
     }
 
-    /// Answers another member that wants to start a cluster.
+    /// Handles the request of another member that is about to start a cluster.
     pub(crate) fn reserve(&self) -> Result<(), String> {
         if let Some(identity) = self.identity.load().as_ref() {
             return Err(format!("it belongs to cluster {}", identity.cluster));
         }
-        self.founding.reserve()
+        self.init_guard.reserve()
     }
 }
 
-/// Makes what a member says of itself.
+/// Creates a member's announcement.
 pub(crate) fn announce(
     vm: &VmName,
     node: NodeId,
@@ -162,28 +164,28 @@
     sessions: &Sessions,
 ) -> Announce {
     let cluster = identity.load().as_ref().map(|it| it.cluster);
-    let view = sessions.asker.core.view();
+    let view = sessions.leader_client.core.view();
     let leader = view.leader.and_then(|it| view.vm(it));
     let entries = Some(sessions.entries());
     Announce { vm: vm.clone(), node, cluster, term: view.term, leader, entries }
 }
 
-/// Keeps two members from starting a cluster each at the same time: a member that starts one, or
-/// promised another not to, refuses to promise.
+/// Prevents two members from each starting a cluster at the same time. A member that is starting
+/// one, or has promised another member not to, gives no promise or does not start.
 #[derive(Default)]
-pub(crate) struct Founding {
-    starts: AtomicBool,
+pub(crate) struct InitGuard {
+    in_progress: AtomicBool,
     reserved: Mutex<Option<Instant>>,
 }
 
-impl Founding {
+impl InitGuard {
     fn is_reserved(&self) -> bool {
         let reserved = self.reserved.lock().unwrap_or_else(PoisonError::into_inner);
-        reserved.is_some_and(|it| it.elapsed() < RESERVED)
+        reserved.is_some_and(|it| it.elapsed() < RESERVATION)
     }
 
     fn begin(&self) -> Result<(), String> {
-        if self.starts.swap(true, Ordering::SeqCst) {
+        if self.in_progress.swap(true, Ordering::SeqCst) {
             return Err("init is under way".to_owned());
         }
         if self.is_reserved() {
@@ -194,22 +196,22 @@
     }
 
     fn end(&self) {
-        self.starts.store(false, Ordering::SeqCst);
+        self.in_progress.store(false, Ordering::SeqCst);
     }
 
     fn reserve(&self) -> Result<(), String> {
-        // Set before the look at `starts`, so that of two members that begin at once at most one
-        // misses the other.
+        // The reservation is stored before `in_progress` is read, so that of two members that begin
+        // at the same time at most one misses the other's attempt.
         *self.reserved.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
-        if self.starts.load(Ordering::SeqCst) {
+        if self.in_progress.load(Ordering::SeqCst) {
             return Err("it starts a cluster itself; ask again in 10 s".to_owned());
         }
         Ok(())
     }
 
-    /// Tells whether this member starts a cluster now.
-    pub(crate) fn is_under_way(&self) -> bool {
-        self.starts.load(Ordering::SeqCst)
+    /// Returns whether this member is starting a cluster.
+    pub(crate) fn is_initializing(&self) -> bool {
+        self.in_progress.load(Ordering::SeqCst)
     }
 }
 
@@ -219,35 +221,35 @@
             service.version = published.version;
             Some(Arc::new(service))
         }
-        // It was checked before it was proposed, perhaps by another release.
+        // The document was checked before it was proposed, possibly by another release.
         Err(e) => {
-            log::error!(site:% = site; "the service does not resolve: {e}");
+            log::error!(site:% = site; "the service version cannot be resolved for this site, which keeps no service: {e}");
             None
         }
     }
 }
 
-/// The service in force as each site sees it, resolved once a version.
+/// The service in force as each site sees it, resolved once per version.
 #[derive(Default)]
 pub(crate) struct Services {
     current: ArcSwap<BTreeMap<SiteName, Arc<Service>>>,
 }
 
 impl Services {
-    /// Resolves a version for all its sites, `own` among them.
+    /// Resolves a version for all sites in it, including the member's own site.
     pub(crate) fn resolve(&self, published: &Published, own: &SiteName) {
         if published.version == Version(0) {
             return;
         }
         let mut services = BTreeMap::new();
-        let first = resolve(published, own);
-        let sites = first.iter().flat_map(|it| it.sites.keys().cloned()).collect::<Vec<_>>();
+        let own_service = resolve(published, own);
+        let sites = own_service.iter().flat_map(|it| it.sites.keys().cloned()).collect::<Vec<_>>();
         for site in sites {
             if let Some(service) = resolve(published, &site) {
                 services.insert(site, service);
             }
         }
-        if let Some(service) = first {
+        if let Some(service) = own_service {
             services.insert(own.clone(), service);
         }
         self.current.store(Arc::new(services));
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a member counts for `/metrics`.
+//! The metrics of a member, served at `/metrics`.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 
 use crate::view::View;
 
-/// The bounds of the sync histogram, in seconds.
-const SYNC_BOUNDS: [f64; 9] = [0.0005, 0.001, 0.002, 0.005, 0.01, 0.05, 0.2, 1.0, 5.0];
+/// The bucket bounds of the sync histogram, in seconds.
+const SYNC_BUCKETS_S: [f64; 9] = [0.0005, 0.001, 0.002, 0.005, 0.01, 0.05, 0.2, 1.0, 5.0];
 
-/// Above this a write is logged: what is committed waits for it.
-const SLOW_SYNC: Duration = Duration::from_millis(300);
+/// The duration above which a write is logged, because commits wait for it.
+const SLOW_SYNC_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// The counters.
+/// The metrics.
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Log entries applied.
+    /// The log entries applied.
     pub(crate) applied: IntCounter,
-    /// Snapshots written.
+    /// The snapshots written.
     pub(crate) snapshots: IntCounter,
     leads: IntGauge,
     term: IntGauge,
@@ -30,7 +30,7 @@
     /// Registers every metric.
     ///
     /// # Errors
-    /// Where a name is not valid.
+    /// Returns an error if a metric name is not valid.
     pub(crate) fn new() -> Result<Self, prometheus::Error> {
         let registry = telemetry::open_registry();
         let applied = IntCounter::new("mothplank_control_applied_total", "Log entries applied.")?;
@@ -40,7 +40,7 @@
         let version = IntGauge::new("mothplank_control_version", "The service version applied.")?;
         let options =
             HistogramOpts::new("mothplank_control_sync_seconds", "Time of one write and sync.")
-                .buckets(SYNC_BOUNDS.to_vec());
+                .buckets(SYNC_BUCKETS_S.to_vec());
         let syncs = Histogram::with_opts(options)?;
         registry.register(Box::new(applied.clone()))?;
         registry.register(Box::new(snapshots.clone()))?;
@@ -52,23 +52,23 @@
         Ok(Self { registry, applied, snapshots, leads, term, version, syncs, bytes })
     }
 
-    /// Counts a write and its sync.
+    /// Records the duration of a write and its sync.
     pub(crate) fn sync(&self, took: Duration) {
         self.syncs.observe(took.as_secs_f64());
-        if took > SLOW_SYNC {
+        if took > SLOW_SYNC_THRESHOLD {
             let ms = took.as_millis() as u64;
             log::warn!(ms; "the disk was slow to sync");
         }
     }
 
-    /// Shows the node's part.
-    pub(crate) fn show(&self, view: &View) {
+    /// Updates the gauges from the node's state.
+    pub(crate) fn set_node_state(&self, view: &View) {
         self.leads.set(i64::from(view.leads()));
         self.term.set(view.term.0 as i64);
         self.version.set(view.version.0 as i64);
     }
 
-    /// Renders the text of `/metrics`.
+    /// Renders the text for `/metrics`.
     pub(crate) fn render(&self) -> String {
         let traffic = wire::Traffic::read();
         self.bytes.set(traffic.sent, traffic.received, traffic.queued);
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP side.
+//! The operators' HTTP API.
 
 use std::sync::Arc;
 
@@ -7,42 +7,45 @@
 use sha2::{Digest as _, Sha256};
 use types::OperatorName;
 
-use crate::answers::Page;
 use crate::calls;
 use crate::member::Member;
+use crate::responses::HttpResponse;
 
-/// The largest body, in bytes: a whole document.
+/// The maximum size of a body, in bytes; a whole service document fits.
 pub(crate) const BODY_LIMIT: usize = 8 << 20;
 
-/// One call, read in full.
+/// One API call, read in full.
 pub(crate) struct Call {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) query: String,
-    /// The value of the header `Authorization`.
+    /// The value of the `Authorization` header.
     pub(crate) authorization: Option<String>,
     pub(crate) body: Vec<u8>,
 }
 
-/// Answers calls.
+/// Authenticates and dispatches API calls.
 pub(crate) struct Operators {
     pub(crate) member: Arc<Member>,
 }
 
 impl Operators {
-    /// Answers one call.
-    pub(crate) async fn answer(&self, call: Call) -> Page {
+    /// Handles one call.
+    pub(crate) async fn answer(&self, call: Call) -> HttpResponse {
         let method = call.method.as_str();
         match (method, call.path.as_str()) {
-            ("GET", "/livez") => return Page::text("ok"),
+            ("GET", "/livez") => return HttpResponse::text("ok"),
             ("GET", "/readyz") => return self.ready(),
-            ("GET", "/metrics") => return Page::text(&self.member.metrics.render()),
+            ("GET", "/metrics") => return HttpResponse::text(&self.member.metrics.render()),
             _ => {}
         }
         let token = call.authorization.as_deref().and_then(|it| it.strip_prefix("Bearer "));
         let operators = self.operators();
         let Some(operator) = token.and_then(|it| authenticate(operators, it)) else {
-            return Page::fault(StatusCode::UNAUTHORIZED, "name a token that the settings know");
+            return HttpResponse::error(
+                StatusCode::UNAUTHORIZED,
+                "name a token that the settings know",
+            );
         };
         let member = &self.member;
         match (method, call.path.as_str()) {
@@ -55,7 +58,10 @@
             ("POST", "/v1/members") => calls::members(member, operator, &call.body).await,
             ("POST", "/v1/transfer") => calls::transfer(member, &call.body).await,
             ("GET", "/v1/report") => calls::report(member, &call.query).await,
-            _ => Page::fault(StatusCode::NOT_FOUND, "no such call; docs/PROTOCOLS.md lists them"),
+            _ => HttpResponse::error(
+                StatusCode::NOT_FOUND,
+                "no such call; docs/PROTOCOLS.md lists them",
+            ),
         }
     }
 
@@ -63,40 +69,42 @@
         self.member.settings.control.as_ref().map_or(&[], |it| &it.operators)
     }
 
-    /// Ready is a member that belongs to a cluster, knows its leader and does not drain.
-    fn ready(&self) -> Page {
+    /// Responds with success if the member belongs to a cluster, knows its leader and does not
+    /// drain.
+    fn ready(&self) -> HttpResponse {
         let view = self.member.core.view();
         let stopped = self.member.stopped.borrow().clone();
         let why = if let Some(why) = &stopped {
             why
-        } else if self.member.drains.load(std::sync::atomic::Ordering::SeqCst) {
+        } else if self.member.is_draining.load(std::sync::atomic::Ordering::SeqCst) {
             "draining"
         } else if self.member.identity.load().is_none() {
             "belongs to no cluster yet; run init once, or wait to join"
         } else if view.leader.is_none() {
             "knows no leader"
         } else {
-            return Page::text("ready");
+            return HttpResponse::text("ready");
         };
-        Page::fault(StatusCode::SERVICE_UNAVAILABLE, why)
+        HttpResponse::error(StatusCode::SERVICE_UNAVAILABLE, why)
     }
 }
 
-/// Finds the operator of a token. Every operator's hash is compared in full, whatever the others
-/// gave: the time taken tells nothing of how much of a hash was right.
+/// Returns the operator to whom a token belongs. The hash of every operator is compared in full,
+/// regardless of the other results, so that the response time does not reveal how much of a hash
+/// was right.
 fn authenticate(operators: &[Operator], token: &str) -> Option<OperatorName> {
     let hash = Sha256::digest(token.as_bytes());
     let text: String = hash.iter().map(|byte| format!("{byte:02x}")).collect();
     let mut found = None;
     for operator in operators {
-        if is_same(text.as_bytes(), operator.token.as_bytes()) {
+        if equals_constant_time(text.as_bytes(), operator.token.as_bytes()) {
             found = Some(operator.name.clone());
         }
     }
     found
 }
 
-fn is_same(left: &[u8], right: &[u8]) -> bool {
+fn equals_constant_time(left: &[u8], right: &[u8]) -> bool {
     if left.len() != right.len() {
         return false;
     }
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,4 +1,4 @@
-//! The connections that this member dials to the others.
+//! The connections that this member opens to the other members.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -14,53 +14,53 @@
 use wire::session::Ticket;
 use wire::{Hello, Kind, Secret};
 
-use crate::ask::{Answer, Ask, Denied};
+use crate::announcements::PeerAnnouncements;
 use crate::core::Outbox;
 use crate::protocol::{Announce, MemberMessage, MemberReply, Reply, Span, UseRow};
-use crate::roster::Roster;
+use crate::request::{LeaderRequest, LeaderResult, RequestError};
 
-/// The shortest pause before another attempt to connect; it doubles up to [`PAUSE_MOST`].
-const PAUSE_LEAST: Duration = Duration::from_millis(50);
+/// The shortest delay before the next attempt to connect. It doubles up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The longest pause before another attempt to connect.
-const PAUSE_MOST: Duration = Duration::from_millis(500);
+/// The longest delay before the next attempt to connect.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// All dialed connections.
+/// The connections to all other members.
 pub(crate) struct Peers {
     links: BTreeMap<VmName, Arc<Link>>,
-    roster: Arc<Roster>,
+    announcements: Arc<PeerAnnouncements>,
 }
 
-/// One other member.
+/// The connection to one other member.
 struct Link {
     address: SocketAddr,
     sender: ArcSwapOption<wire::Sender<MemberMessage>>,
     waiting: Mutex<HashMap<Ticket, oneshot::Sender<Reply>>>,
     next: AtomicU64,
-    /// How many connections there have been.
+    /// The number of connections established so far.
     connections: AtomicU64,
 }
 
-/// What a member needs to dial the others.
+/// The data for opening connections to the other members.
 pub(crate) struct Dialer {
     pub(crate) secret: Secret,
     pub(crate) me: Hello,
-    /// Makes what the member says of itself at the moment.
+    /// Creates the member's current announcement.
     pub(crate) announce: Box<dyn Fn() -> Announce + Send + Sync>,
 }
 
-/// Why another member gave no reply.
+/// Reason why another member gave no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Silence {
-    /// The question was not sent.
-    Unsent,
-    /// The question was sent, and no reply came.
+pub(crate) enum NoReply {
+    /// The request was not sent.
+    NotSent,
+    /// The request was sent, and no reply came.
     Lost,
 }
 
 impl Peers {
-    /// Prepares the links; [`Peers::dial`] connects them.
-    pub(crate) fn new(others: &[settings::Member], roster: Arc<Roster>) -> Self {
+    /// Creates the links; [`Peers::dial`] connects them.
+    pub(crate) fn new(others: &[settings::Member], announcements: Arc<PeerAnnouncements>) -> Self {
         let link = |it: &settings::Member| {
             let link = Link {
                 address: it.wire,
@@ -71,30 +71,30 @@
             };
             (it.vm.clone(), Arc::new(link))
         };
-        Self { links: others.iter().map(link).collect(), roster }
+        Self { links: others.iter().map(link).collect(), announcements }
     }
 
-    /// Connects every link and keeps it connected, on the current tokio runtime.
+    /// Connects every link and keeps it connected, in tasks on the current tokio runtime.
     pub(crate) fn dial(&self, dialer: Dialer) -> Vec<tokio::task::JoinHandle<()>> {
         let dialer = Arc::new(dialer);
         let dial = |(vm, link): (&VmName, &Arc<Link>)| {
-            tokio::spawn(keep(vm.clone(), Arc::clone(link), Arc::clone(&dialer)))
+            tokio::spawn(keep_connected(vm.clone(), Arc::clone(link), Arc::clone(&dialer)))
         };
         self.links.iter().map(dial).collect()
     }
 
-    /// Returns the VMs of the other members, and whether each is connected.
+    /// Returns the VMs of the other members and whether each is connected.
     pub(crate) fn connected(&self) -> Vec<(VmName, bool)> {
-        let state = |(vm, link): (&VmName, &Arc<Link>)| (vm.clone(), link.is_up());
-        self.links.iter().map(state).collect()
+        let row = |(vm, link): (&VmName, &Arc<Link>)| (vm.clone(), link.is_up());
+        self.links.iter().map(row).collect()
     }
 
-    /// Returns the leader that the other members know.
+    /// Returns the leader that the other members announce.
     pub(crate) fn leader(&self) -> Option<VmName> {
-        self.roster.leader()
+        self.announcements.leader()
     }
 
-    /// Returns the other members, and the number of the connection to each.
+    /// Returns the VMs of the other members and the number of the connection to each.
     pub(crate) fn connections(&self) -> Vec<(VmName, u64)> {
         let number = |(vm, link): (&VmName, &Arc<Link>)| {
             (vm.clone(), link.connections.load(Ordering::Acquire))
@@ -102,25 +102,34 @@
         self.links.iter().map(number).collect()
     }
 
-    /// Sends to one member if it is connected; tells whether the connection took it.
+    /// Sends a message to one member if it is connected. Returns whether the connection accepted
+    /// it.
     pub(crate) fn send(&self, vm: &VmName, message: &MemberMessage) -> bool {
         self.links.get(vm).is_some_and(|it| it.send(message))
     }
 
-    /// Sends to every member that is connected.
+    /// Sends a message to every connected member.
     pub(crate) fn send_all(&self, message: &MemberMessage) {
         for link in self.links.values() {
             link.send(message);
         }
     }
 
-    /// Asks the member on `vm`, which must lead for there to be an answer.
-    pub(crate) async fn ask(&self, vm: &VmName, ask: Ask, by: Instant) -> Answer {
-        match self.question(vm, by, |ticket| MemberMessage::Ask { ticket, ask }).await {
-            Ok(Reply::Answer(answer)) => answer,
-            Err(Silence::Unsent) => Err(Denied::NotRun(format!("{vm} is not connected"))),
-            Ok(_) | Err(Silence::Lost) => {
-                Err(Denied::Uncertain(format!("the answer of {vm} was lost")))
+    /// Sends a request to the member on `vm`, which must lead in order to serve it.
+    pub(crate) async fn request(
+        &self,
+        vm: &VmName,
+        request: LeaderRequest,
+        deadline: Instant,
+    ) -> LeaderResult {
+        match self
+            .call(vm, deadline, |ticket| MemberMessage::LeaderRequest { ticket, request })
+            .await
+        {
+            Ok(Reply::LeaderResult(answer)) => answer,
+            Err(NoReply::NotSent) => Err(RequestError::NotRun(format!("{vm} is not connected"))),
+            Ok(_) | Err(NoReply::Lost) => {
+                Err(RequestError::Uncertain(format!("the answer of {vm} was lost")))
             }
         }
     }
@@ -129,49 +138,50 @@
     pub(crate) async fn reserve(
         &self,
         vm: &VmName,
-        by: Instant,
-    ) -> Result<Result<(), String>, Silence> {
-        match self.question(vm, by, |ticket| MemberMessage::Reserve { ticket }).await? {
+        deadline: Instant,
+    ) -> Result<Result<(), String>, NoReply> {
+        match self.call(vm, deadline, |ticket| MemberMessage::Reserve { ticket }).await? {
             Reply::Reserve(reserved) => Ok(reserved),
-            _ => Err(Silence::Lost),
+            _ => Err(NoReply::Lost),
         }
     }
 
-    /// Asks the member on `vm` for what its entries used.
+    /// Asks the member on `vm` for the stage usage that its entries reported.
     pub(crate) async fn report(
         &self,
         vm: &VmName,
         span: Span,
-        by: Instant,
-    ) -> Result<Vec<UseRow>, Silence> {
-        match self.question(vm, by, |ticket| MemberMessage::Report { ticket, span }).await? {
+        deadline: Instant,
+    ) -> Result<Vec<UseRow>, NoReply> {
+        match self.call(vm, deadline, |ticket| MemberMessage::Report { ticket, span }).await? {
             Reply::Report(rows) => Ok(rows),
-            _ => Err(Silence::Lost),
+            _ => Err(NoReply::Lost),
         }
     }
 
-    async fn question(
+    async fn call(
         &self,
         vm: &VmName,
-        by: Instant,
+        deadline: Instant,
         message: impl FnOnce(Ticket) -> MemberMessage,
-    ) -> Result<Reply, Silence> {
-        let link = self.links.get(vm).ok_or(Silence::Unsent)?;
-        let sender = link.sender.load_full().ok_or(Silence::Unsent)?;
+    ) -> Result<Reply, NoReply> {
+        let link = self.links.get(vm).ok_or(NoReply::NotSent)?;
+        let sender = link.sender.load_full().ok_or(NoReply::NotSent)?;
         let ticket = link.next.fetch_add(1, Ordering::Relaxed);
         let (responder, receiver) = oneshot::channel();
         link.waiting().insert(ticket, responder);
         if sender.try_send(&message(ticket)).is_err() {
             link.waiting().remove(&ticket);
-            return Err(Silence::Unsent);
+            return Err(NoReply::NotSent);
         }
-        // The connection may have ended, and its tickets been dropped, between the look at the
-        // sender and the insertion of this one: then only the time limit ends the wait.
-        let reply = timeout_at(by, receiver).await;
+        // The connection may have ended, and its waiting requests may have been cleared, after the
+        // sender was loaded and before this ticket was inserted. In that case only the deadline
+        // ends the wait.
+        let reply = timeout_at(deadline, receiver).await;
         link.waiting().remove(&ticket);
         match reply {
             Ok(Ok(reply)) => Ok(reply),
-            Ok(Err(_)) | Err(_) => Err(Silence::Lost),
+            Ok(Err(_)) | Err(_) => Err(NoReply::Lost),
         }
     }
 }
@@ -190,17 +200,21 @@
     }
 }
 
-async fn keep(vm: VmName, link: Arc<Link>, dialer: Arc<Dialer>) {
-    let mut pause = PAUSE_LEAST;
+async fn keep_connected(vm: VmName, link: Arc<Link>, dialer: Arc<Dialer>) {
+    let mut backoff = MIN_BACKOFF;
     loop {
-        let from = Instant::now();
+        let started = Instant::now();
         if let Err(e) = serve(&vm, &link, &dialer).await {
-            log::debug!(vm:% = vm; "connection to member ended: {e}");
+            log::debug!(vm:% = vm; "the connection to a member ended and will be reopened: {e}");
         }
         link.sender.store(None);
         link.waiting().clear();
-        pause = if from.elapsed() > PAUSE_MOST { PAUSE_LEAST } else { (pause * 2).min(PAUSE_MOST) };
-        sleep(pause).await;
+        backoff = if started.elapsed() > MAX_BACKOFF {
+            MIN_BACKOFF
+        } else {
+            (backoff * 2).min(MAX_BACKOFF)
+        };
+        sleep(backoff).await;
     }
 }
 
@@ -209,11 +223,11 @@
         wire::connect(link.address, &dialer.secret, dialer.me.clone(), Kind::Member).await?;
     if connection.hello().vm != *vm {
         let found = connection.hello().vm.clone();
-        log::error!(vm:% = vm, found:% = found; "another VM answers at this member's address");
+        log::error!(vm:% = vm, found:% = found; "another VM answered at the address of a member; the settings name a wrong address");
         return Ok(());
     }
     let (sender, mut receiver) = connection.split::<MemberMessage, MemberReply>();
-    // The other side ignores consensus messages until it knows the cluster of this member.
+    // The receiver ignores consensus messages until it knows the cluster of this member.
     sender.send(&MemberMessage::Announce((dialer.announce)())).await?;
     link.connections.fetch_add(1, Ordering::AcqRel);
     link.sender.store(Some(Arc::new(sender)));
@@ -226,13 +240,13 @@
     Ok(())
 }
 
-/// The way of consensus messages out of the core loop.
+/// Sends the core loop's consensus messages to the other members.
 pub(crate) struct PeerOutbox(pub(crate) Arc<Peers>);
 
 impl Outbox for PeerOutbox {
     fn send(&self, message: Message, vm: Option<VmName>) {
-        // A node that joins knows its leader before it knows the membership.
-        let vm = vm.or_else(|| self.0.roster.vm_of(message.to));
+        // A joining node knows its leader before it knows the membership.
+        let vm = vm.or_else(|| self.0.announcements.vm_of(message.to));
         if let Some(vm) = vm {
             self.0.send(&vm, &MemberMessage::Consensus(message));
         }
--- a/crates/control/src/pending/tests.rs
+++ b/crates/control/src/pending/tests.rs
@@ -1,25 +1,25 @@
 use tokio::sync::oneshot;
 use types::{LogIndex, Term};
 
-use super::{Pending, answer};
-use crate::ask::{Answer, Denied, Told};
+use super::{Pending, respond};
+use crate::request::{LeaderResponse, LeaderResult, RequestError};
 
-fn not_run() -> Denied {
-    Denied::NotRun("another leader's entry won".to_owned())
+fn not_run() -> RequestError {
+    RequestError::NotRun("another leader's entry won".to_owned())
 }
 
-fn uncertain(why: &str) -> Denied {
-    Denied::Uncertain(why.to_owned())
+fn uncertain(why: &str) -> RequestError {
+    RequestError::Uncertain(why.to_owned())
 }
 
-/// What happens after a proposal in term 2 at index 5.
+/// An event after a proposal in term 2 at index 5.
 enum Event {
     Commit(u64, u64),
-    Cover(u64),
+    FailUpTo(u64),
     Add(u64, u64),
 }
 
-fn play(events: &[Event]) -> Option<Answer> {
+fn result_after(events: &[Event]) -> Option<LeaderResult> {
     let mut pending = Pending::default();
     let (responder, mut receiver) = oneshot::channel();
     pending.add(Term(2), LogIndex(5), responder);
@@ -27,10 +27,10 @@
         match event {
             Event::Commit(term, index) => {
                 if let Some(responder) = pending.commit(Term(*term), LogIndex(*index)) {
-                    answer(responder, Ok(Told::Done));
+                    respond(responder, Ok(LeaderResponse::Done));
                 }
             }
-            Event::Cover(index) => pending.cover(LogIndex(*index)),
+            Event::FailUpTo(index) => pending.fail_up_to(LogIndex(*index)),
             Event::Add(term, index) => {
                 pending.add(Term(*term), LogIndex(*index), oneshot::channel().0);
             }
@@ -41,21 +41,25 @@
 
 #[test]
 fn only_proof_makes_an_answer_certain() {
-    // Symptom: an operator is told that a change did not run, and then it is in force.
-    // Sequence: the leader proposes, loses leadership, and the next leader commits the entry.
-    // Cause: the loss of leadership alone was taken for proof.
+    // A leader may propose an entry and lose leadership, and the next leader may still commit that
+    // entry. If the loss of leadership counted as proof of failure, an operator would be told that
+    // a change did not run, and it would later be in force.
     struct Case {
         name: &'static str,
         events: Vec<Event>,
-        answer: Option<Answer>,
+        answer: Option<LeaderResult>,
     }
     let cases = [
         Case { name: "waits", events: vec![Event::Commit(2, 4)], answer: None },
-        Case { name: "commits", events: vec![Event::Commit(2, 5)], answer: Some(Ok(Told::Done)) },
+        Case {
+            name: "commits",
+            events: vec![Event::Commit(2, 5)],
+            answer: Some(Ok(LeaderResponse::Done)),
+        },
         Case {
             name: "commits under the next leader",
             events: vec![Event::Commit(2, 4), Event::Commit(2, 5), Event::Commit(3, 6)],
-            answer: Some(Ok(Told::Done)),
+            answer: Some(Ok(LeaderResponse::Done)),
         },
         Case {
             name: "is overwritten",
@@ -64,10 +68,10 @@
         },
         Case {
             name: "a snapshot covers it",
-            events: vec![Event::Cover(5)],
+            events: vec![Event::FailUpTo(5)],
             answer: Some(Err(uncertain("a snapshot covers it"))),
         },
-        Case { name: "a snapshot before it", events: vec![Event::Cover(4)], answer: None },
+        Case { name: "a snapshot before it", events: vec![Event::FailUpTo(4)], answer: None },
         Case {
             name: "this node leads again and proposes there",
             events: vec![Event::Add(4, 5)],
@@ -75,6 +79,6 @@
         },
     ];
     for Case { name, events, answer } in cases {
-        assert_eq!(play(&events), answer, "{name}");
+        assert_eq!(result_after(&events), answer, "{name}");
     }
 }
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The messages between two members. Each member dials every other: what it asks goes out on its
-//! own connection, and the replies come back on it.
+//! The messages between two members. Each member opens a connection to every other member; it sends
+//! its requests on that connection and receives the replies on it.
 
 use std::fmt;
 
@@ -12,9 +12,9 @@
 use wire::loads::NumberedDigest;
 use wire::session::{CustomerShare, LoadReport, Ticket, UsageReport};
 
-use crate::ask::{Answer, Ask};
+use crate::request::{LeaderRequest, LeaderResult};
 
-/// Identifies one cluster, from its `init` on.
+/// Identifies a cluster, from its `init` on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClusterId(pub Uuid);
 
@@ -24,112 +24,114 @@
     }
 }
 
-/// An entry that has a session with a member.
+/// The status of an entry that has a session with a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntrySeen {
-    /// Its VM.
+pub struct EntryStatus {
+    /// The VM.
     pub vm: VmName,
-    /// Its site.
+    /// The site.
     pub site: SiteName,
-    /// The life of its process.
+    /// The incarnation of the entry's process.
     pub owner: Incarnation,
-    /// The version it said it has in force.
+    /// The service version that the entry last reported to have in force.
     pub version: Version,
-    /// Milliseconds since it last asked for a confirmation, when this was sent; `None` if never.
+    /// Milliseconds since the entry last requested a confirmation, at the time this was sent;
+    /// `None` if it never did.
     pub age_ms: Option<u64>,
-    /// Whether it said that it drains.
+    /// Whether the entry has reported that it drains.
     pub draining: bool,
-    /// A version that it keeps out, and why.
+    /// A version that the entry did not install, and the reason.
     pub behind: Option<(Version, String)>,
 }
 
-/// What a member says of itself, at the start of a connection and then twice a second.
+/// A member's announcement of itself, sent at the start of a connection and then twice a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Announce {
-    /// Its VM.
+    /// The VM.
     pub(crate) vm: VmName,
-    /// The life of its data folder.
+    /// The node id, which identifies the incarnation of the data folder.
     pub(crate) node: NodeId,
-    /// Its cluster; `None` where it has none yet.
+    /// The cluster; `None` if the member belongs to none yet.
     pub(crate) cluster: Option<ClusterId>,
-    /// Its term.
+    /// The member's term.
     pub(crate) term: Term,
-    /// The leader it knows in that term.
+    /// The leader that the member knows in that term.
     pub(crate) leader: Option<VmName>,
-    /// The sessions of entries that it holds; `None` where they are as it last said on this
-    /// connection.
-    pub(crate) entries: Option<Vec<EntrySeen>>,
+    /// The entries that have a session with the member; `None` if they are unchanged since the last
+    /// list on this connection.
+    pub(crate) entries: Option<Vec<EntryStatus>>,
 }
 
-/// What a dialing member sends.
+/// A message from the member that opened the connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum MemberMessage {
-    /// Who it is.
+    /// The sender's announcement.
     Announce(Announce),
     /// A message between the consensus nodes.
     Consensus(consensus::Message),
-    /// A question to the leader.
-    Ask {
-        /// The question's number.
+    /// A request to the leader.
+    LeaderRequest {
+        /// The number of the request.
         ticket: Ticket,
-        /// The question.
-        ask: Ask,
+        /// The request.
+        request: LeaderRequest,
     },
-    /// Asks to be the only one that starts a cluster for a while.
+    /// Asks the receiver not to start a cluster for a while, because the sender is about to start
+    /// one.
     Reserve {
-        /// The question's number.
+        /// The number of the request.
         ticket: Ticket,
     },
-    /// Asks for the use by stage that the entries reported to this member.
+    /// Asks for the stage usage that entries reported to this member.
     Report {
-        /// The question's number.
+        /// The number of the request.
         ticket: Ticket,
-        /// The span.
+        /// The time span.
         span: Span,
     },
-    /// From the leader: the load of upstreams that changed.
+    /// From the leader: the loads of upstreams that changed.
     Loads(NumberedDigest),
-    /// From the leader: shares of the customers' limits that changed, by entry.
+    /// From the leader: the changed shares of the customers' limits, by entry.
     Shares {
         /// The leader's term.
         term: Term,
-        /// Whether these are all shares there are.
-        whole: bool,
+        /// Whether these are all shares rather than only the changed ones.
+        is_full: bool,
         /// The shares.
         shares: Vec<(VmName, Vec<CustomerShare>)>,
     },
     /// To the leader: an entry's calls in flight.
     Load(LoadReport),
-    /// To the leader: what an entry used.
+    /// To the leader: the usage that an entry reported.
     Usage {
         /// The entry's VM.
         vm: VmName,
-        /// What it used.
+        /// The usage report.
         report: UsageReport,
     },
 }
 
-/// What comes back on the same connection.
+/// A reply on the same connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct MemberReply {
-    /// The question's number.
+    /// The number of the request.
     pub(crate) ticket: Ticket,
     /// The reply.
     pub(crate) reply: Reply,
 }
 
-/// A reply.
+/// The content of a reply.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Reply {
-    /// To `Ask`.
-    Answer(Answer),
-    /// To `Reserve`: why not, if so.
+    /// The reply to `LeaderRequest`.
+    LeaderResult(LeaderResult),
+    /// The reply to `Reserve`; an error contains the reason for the refusal.
     Reserve(Result<(), String>),
-    /// To `Report`.
+    /// The reply to `Report`.
     Report(Vec<UseRow>),
 }
 
-/// A span of wall clock time, from its start up to but without its end.
+/// A span of wall clock time, including its start and excluding its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Span {
     /// The start.
@@ -138,7 +140,7 @@
     pub to: UnixMillis,
 }
 
-/// Use of one customer's stage in one pool.
+/// The usage of one customer's stage in one pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct UseRow {
     /// The customer.
@@ -147,12 +149,12 @@
     pub stage: StageName,
     /// The pool.
     pub pool: PoolName,
-    /// Calls whose result was used.
+    /// The number of calls whose result was used.
     pub calls: u64,
-    /// Their busy time.
+    /// The busy time of those calls.
     pub busy: Micros,
-    /// Their tokens.
+    /// The tokens of those calls.
     pub tokens: Tokens,
-    /// Busy time of calls whose result was not used.
+    /// The busy time of calls whose result was not used.
     pub wasted: Micros,
 }
--- a/crates/control/src/push.rs
+++ b/crates/control/src/push.rs
@@ -1,4 +1,4 @@
-//! What a session pushes to its entry.
+//! The data that a session pushes to its entry.
 
 use std::sync::Arc;
 
@@ -9,20 +9,20 @@
 use wire::loads::LoadNumbers;
 use wire::session::ControlMessage;
 
-use crate::board::ChangeNumber;
 use crate::sessions::Sessions;
+use crate::share_store::ChangeNumber;
 use crate::view::Published;
 
-/// The sending side of a session, and what was sent.
+/// The sending side of a session, and a record of what was sent.
 pub(crate) struct Push {
     sessions: Arc<Sessions>,
     vm: VmName,
     sender: wire::Sender<ControlMessage>,
-    /// The version that the entry has or was sent.
-    sent: Version,
-    /// The text of that version, where this session sent it.
+    /// The service version that the entry has or was sent.
+    sent_version: Version,
+    /// The document of that version, if this session sent it.
     document: Option<Arc<Document>>,
-    shares: ChangeNumber,
+    sent_shares: ChangeNumber,
     numbers: LoadNumbers,
 }
 
@@ -34,34 +34,34 @@
         have: Version,
     ) -> Self {
         let numbers = LoadNumbers::default();
-        Self { sessions, vm, sender, sent: have, document: None, shares: 0, numbers }
+        Self { sessions, vm, sender, sent_version: have, document: None, sent_shares: 0, numbers }
     }
 
-    /// Pushes services, digests, shares and answers to the entry, in one order.
+    /// Sends services, digests, shares and responses to the entry in one order.
     ///
     /// # Errors
-    /// Where the connection broke.
+    /// Returns an error if the connection failed.
     pub(crate) async fn run(
         mut self,
-        mut answers: mpsc::Receiver<ControlMessage>,
-        whole: Arc<Notify>,
+        mut responses: mpsc::Receiver<ControlMessage>,
+        need_full: Arc<Notify>,
     ) -> StepResult<()> {
-        let mut published = self.sessions.asker.core.published();
+        let mut published = self.sessions.leader_client.core.published();
         let mut leave = self.sessions.leaving();
         let mut shares = self.sessions.shares.subscribe();
         let (table, mut deltas) = self.sessions.digest.follow();
         published.mark_changed();
         shares.mark_changed();
         leave.mark_changed();
-        self.digest(&table).await?;
+        self.send_digest(&table).await?;
         loop {
             let message = tokio::select! {
                 Ok(()) = published.changed() => None,
-                () = whole.notified() => {
-                    (self.sent, self.document) = (Version(0), None);
+                () = need_full.notified() => {
+                    (self.sent_version, self.document) = (Version(0), None);
                     None
                 }
-                Some(answer) = answers.recv() => Some(answer),
+                Some(answer) = responses.recv() => Some(answer),
                 delta = deltas.recv() => match delta {
                     Ok(delta) => Some(ControlMessage::Loads(self.numbers.encode(&delta))),
                     Err(RecvError::Lagged(_)) => {
@@ -72,8 +72,8 @@
                     Err(RecvError::Closed) => return Ok(()),
                 },
                 Ok(()) = shares.changed() => {
-                    let news = self.sessions.shares.since(&self.vm, &mut self.shares);
-                    (!news.is_empty()).then_some(ControlMessage::Shares(news))
+                    let changes = self.sessions.shares.changed_since(&self.vm, &mut self.sent_shares);
+                    (!changes.is_empty()).then_some(ControlMessage::Shares(changes))
                 }
                 Ok(()) = leave.changed() => {
                     leave.borrow_and_update().then_some(ControlMessage::Leave)
@@ -81,30 +81,32 @@
                 _ = self.sender.ended() => return Ok(()),
                 else => return Ok(()),
             };
-            // A confirmation must not overtake the version that it confirms.
+            // Sends the version first, so that a confirmation does not arrive before the version it
+            // confirms.
             let latest = Arc::clone(&published.borrow_and_update());
-            self.service(&latest).await?;
+            self.send_service(&latest).await?;
             if let Some(message) = message {
                 self.sender.send(&message).await?;
             }
         }
     }
 
-    async fn digest(&mut self, digest: &Digest) -> StepResult<()> {
+    async fn send_digest(&mut self, digest: &Digest) -> StepResult<()> {
         self.sender.send(&ControlMessage::Loads(self.numbers.encode(digest))).await
     }
 
-    /// Sends a higher version: its change where this session sent the version before.
-    async fn service(&mut self, latest: &Published) -> StepResult<()> {
-        let (base, version) = (self.sent, latest.version);
+    /// Sends a higher version: as an edit if this session sent the previous document, otherwise the
+    /// full document.
+    async fn send_service(&mut self, latest: &Published) -> StepResult<()> {
+        let (base, version) = (self.sent_version, latest.version);
         if version <= base {
             return Ok(());
         }
-        self.sent = version;
-        let before = self.document.replace(Arc::clone(&latest.document));
-        let message = match before {
-            Some(before) => {
-                let edit = DocumentEdit::between(&before, &latest.document);
+        self.sent_version = version;
+        let previous = self.document.replace(Arc::clone(&latest.document));
+        let message = match previous {
+            Some(previous) => {
+                let edit = DocumentEdit::between(&previous, &latest.document);
                 ControlMessage::Edit { version, base, edit }
             }
             None => ControlMessage::Service { version, document: (*latest.document).clone() },
--- a/crates/control/src/report.rs
+++ b/crates/control/src/report.rs
@@ -1,7 +1,8 @@
-//! The use by stage that entries reported to this member, by the minute.
+//! The stage usage that entries reported to this member, in buckets of one minute.
 //!
-//! It is kept in the member's own data folder and not in the log: each member keeps what it was
-//! told, and a report asks them all. What is lost, and when, is said in `docs/notes/members.md`.
+//! It is stored in the member's own data folder rather than in the log: each member keeps what was
+//! reported to it, and a report asks all members. `docs/notes/members.md` explains which data can
+//! be lost, and when.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -11,20 +12,20 @@
 use wire::session::StageUse;
 
 use crate::protocol::{Span, UseRow};
-use crate::use_files::{Hour, UseFiles};
+use crate::usage_files::{HourFile, UsageFiles};
 
 /// The length of one bucket, in milliseconds.
-const BUCKET: u64 = 60_000;
+const BUCKET_MS: u64 = 60_000;
 
-/// The buckets of one file, in milliseconds.
-const HOUR: u64 = 60 * BUCKET;
+/// The time span of one file, in milliseconds.
+const HOUR_MS: u64 = 60 * BUCKET_MS;
 
-/// How many rows are kept; beyond it the oldest bucket goes.
-const ROW_LIMIT: usize = 200_000;
+/// The maximum number of rows kept; beyond it the oldest buckets are dropped.
+const MAX_ROWS: usize = 200_000;
 
 type Key = (CustomerName, StageName, PoolName);
 
-/// What is summed for one customer's stage in one pool.
+/// The totals of one customer's stage in one pool.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sums {
     calls: u64,
@@ -33,29 +34,29 @@
     wasted: u64,
 }
 
-/// The reports of this member's entries.
+/// The stage usage of this member's entries.
 pub(crate) struct Report {
-    inner: Mutex<Buckets>,
-    /// Also keeps two savings from crossing.
-    files: Mutex<UseFiles>,
+    inner: Mutex<BucketTable>,
+    /// The lock also prevents two concurrent calls of `save`.
+    files: Mutex<UsageFiles>,
 }
 
 #[derive(Default)]
-struct Buckets {
+struct BucketTable {
     buckets: BTreeMap<u64, BTreeMap<Key, Sums>>,
     rows: usize,
-    /// The hours whose files are to be written anew.
-    dirty: BTreeSet<u64>,
+    /// The starts of the hours whose files must be rewritten.
+    unsaved_hours: BTreeSet<u64>,
 }
 
 impl Report {
-    /// Opens the report kept in `folder`.
+    /// Loads the usage stored in `folder`.
     pub(crate) fn open(folder: PathBuf) -> Self {
-        let files = UseFiles::open(folder);
-        let mut inner = Buckets::default();
+        let files = UsageFiles::open(folder);
+        let mut inner = BucketTable::default();
         for (start, rows) in files.read().into_iter().flat_map(|it| it.buckets) {
             for row in rows {
-                let (key, sums) = split(row);
+                let (key, sums) = split_row(row);
                 inner.sums(start, key).add(sums);
             }
         }
@@ -63,26 +64,26 @@
         Self { inner: Mutex::new(inner), files: Mutex::new(files) }
     }
 
-    /// Writes what was added since the last time; it blocks on the disk.
+    /// Writes the usage that was added since the last call. Blocks on the disk.
     pub(crate) fn save(&self) {
         let files = self.files.lock().unwrap_or_else(PoisonError::into_inner);
-        let hours = self.lock().take_dirty();
+        let hours = self.lock().take_unsaved();
         for hour in hours {
             if let Err(e) = files.write(&hour) {
-                log::warn!("use by stage is not on the disk: {e}");
-                self.lock().dirty.insert(hour.start);
+                log::warn!("stage usage could not be written and will be retried: {e}");
+                self.lock().unsaved_hours.insert(hour.start);
             }
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Buckets> {
+    fn lock(&self) -> MutexGuard<'_, BucketTable> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds what an entry used up to `at`.
+    /// Adds the usage that an entry reported at `at`.
     pub(crate) fn add(&self, at: UnixMillis, stages: &[StageUse]) {
         let mut inner = self.lock();
-        let start = at.0 / BUCKET * BUCKET;
+        let start = at.0 / BUCKET_MS * BUCKET_MS;
         for used in stages {
             let key = (used.customer.clone(), used.stage.clone(), used.pool.clone());
             inner.sums(start, key).add(Sums {
@@ -91,15 +92,15 @@
                 tokens: used.tokens.0,
                 wasted: used.wasted.0,
             });
-            inner.dirty.insert(start / HOUR * HOUR);
+            inner.unsaved_hours.insert(start / HOUR_MS * HOUR_MS);
         }
         inner.trim();
     }
 
-    /// Sums the buckets that lie in the span at least in part.
+    /// Returns the totals of the buckets that lie at least partly in the span.
     pub(crate) fn rows(&self, span: Span) -> Vec<UseRow> {
         let inner = self.lock();
-        let from = span.from.0.saturating_sub(BUCKET - 1);
+        let from = span.from.0.saturating_sub(BUCKET_MS - 1);
         let mut rows = Rows::default();
         for bucket in inner.buckets.range(from..span.to.0.max(from)).map(|it| it.1) {
             for (key, sums) in bucket {
@@ -110,7 +111,7 @@
     }
 }
 
-impl Buckets {
+impl BucketTable {
     fn sums(&mut self, start: u64, key: Key) -> &mut Sums {
         let rows = &mut self.rows;
         let bucket = self.buckets.entry(start).or_default();
@@ -120,28 +121,28 @@
         })
     }
 
-    fn take_dirty(&mut self) -> Vec<Hour> {
-        let dirty = std::mem::take(&mut self.dirty);
+    fn take_unsaved(&mut self) -> Vec<HourFile> {
+        let unsaved_hours = std::mem::take(&mut self.unsaved_hours);
         let hour = |start: u64| {
-            let buckets = self.buckets.range(start..start + HOUR);
-            let buckets = buckets.map(|(at, rows)| (*at, to_rows(rows.clone()))).collect();
-            Hour { start, buckets }
+            let buckets = self.buckets.range(start..start + HOUR_MS);
+            let buckets = buckets.map(|(at, rows)| (*at, to_usage_rows(rows.clone()))).collect();
+            HourFile { start, buckets }
         };
-        dirty.into_iter().map(hour).collect()
+        unsaved_hours.into_iter().map(hour).collect()
     }
 
     fn trim(&mut self) {
-        while self.rows > ROW_LIMIT && self.buckets.len() > 1 {
+        while self.rows > MAX_ROWS && self.buckets.len() > 1 {
             if let Some((start, bucket)) = self.buckets.pop_first() {
                 self.rows -= bucket.len();
-                self.dirty.insert(start / HOUR * HOUR);
-                log::warn!(start; "use by stage of a minute is dropped: there are too many rows");
+                self.unsaved_hours.insert(start / HOUR_MS * HOUR_MS);
+                log::warn!(start; "dropped the stage usage of the oldest minute: too many rows are stored");
             }
         }
     }
 }
 
-/// Sums rows of several members.
+/// Adds up the rows of several members.
 #[derive(Default)]
 pub(crate) struct Rows(BTreeMap<Key, Sums>);
 
@@ -153,14 +154,14 @@
     /// Adds the rows of one member.
     pub(crate) fn extend(&mut self, rows: Vec<UseRow>) {
         for row in rows {
-            let (key, sums) = split(row);
+            let (key, sums) = split_row(row);
             self.add(key, sums);
         }
     }
 
-    /// Returns the sums as rows.
+    /// Returns the totals as rows.
     pub(crate) fn into_rows(self) -> Vec<UseRow> {
-        to_rows(self.0)
+        to_usage_rows(self.0)
     }
 }
 
@@ -173,13 +174,13 @@
     }
 }
 
-fn split(row: UseRow) -> (Key, Sums) {
+fn split_row(row: UseRow) -> (Key, Sums) {
     let sums =
         Sums { calls: row.calls, busy: row.busy.0, tokens: row.tokens.0, wasted: row.wasted.0 };
     ((row.customer, row.stage, row.pool), sums)
 }
 
-fn to_rows(rows: BTreeMap<Key, Sums>) -> Vec<UseRow> {
+fn to_usage_rows(rows: BTreeMap<Key, Sums>) -> Vec<UseRow> {
     let row = |((customer, stage, pool), sums): (Key, Sums)| UseRow {
         customer,
         stage,
--- a/crates/control/src/answers.rs
+++ b/crates/control/src/responses.rs
@@ -1,4 +1,4 @@
-//! The JSON of the operators' side, as `docs/PROTOCOLS.md` lists it.
+//! The JSON bodies of the operators' API, as listed in `docs/PROTOCOLS.md`.
 
 use std::sync::Arc;
 
@@ -10,21 +10,21 @@
     VmName,
 };
 
-/// An answer: status, content type and body.
+/// An HTTP response: status, content type and body.
 #[derive(Clone, Debug)]
-pub(crate) struct Page {
+pub(crate) struct HttpResponse {
     pub(crate) status: StatusCode,
     pub(crate) kind: &'static str,
     pub(crate) body: String,
 }
 
-impl Page {
-    /// A plain text.
+impl HttpResponse {
+    /// Creates a plain text response.
     pub(crate) fn text(text: &str) -> Self {
         Self { status: StatusCode::OK, kind: "text/plain; charset=utf-8", body: text.to_owned() }
     }
 
-    /// JSON.
+    /// Creates a JSON response.
     pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Self {
         match serde_json::to_string(value) {
             Ok(body) => Self { status, kind: "application/json", body },
@@ -35,13 +35,13 @@
         }
     }
 
-    /// A refusal with its reason.
-    pub(crate) fn fault(status: StatusCode, detail: &str) -> Self {
+    /// Creates an error response with the reason.
+    pub(crate) fn error(status: StatusCode, detail: &str) -> Self {
         let outcome = if status.is_server_error() { "not-run" } else { "refused" };
         Self::outcome(status, outcome, detail)
     }
 
-    /// An outcome with its reason.
+    /// Creates a response with an outcome and its reason.
     pub(crate) fn outcome(status: StatusCode, outcome: &'static str, detail: &str) -> Self {
         Self::json(status, &Outcome { outcome, detail })
     }
@@ -53,15 +53,15 @@
     detail: &'a str,
 }
 
-/// The answer to `init`.
+/// The response to `init`.
 #[derive(Serialize)]
 pub(crate) struct Started {
     pub(crate) outcome: &'static str,
-    /// Members that could not be asked whether they belong to a cluster.
+    /// The members that could not be asked whether they belong to a cluster.
     pub(crate) unheard: Vec<VmName>,
 }
 
-/// The body of a change.
+/// The request body of a change.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ChangeBody {
@@ -70,24 +70,24 @@
     pub(crate) document: Document,
 }
 
-/// The answer to a change that was decided.
+/// The response to a change that was decided.
 #[derive(Serialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
-pub(crate) enum Decided {
+pub(crate) enum ChangeOutcome {
     Accepted { version: Version },
     Conflict { version: Version, winner: Option<ChangeId>, operator: Option<OperatorName> },
     Reused,
     Forgotten { version: Version },
 }
 
-/// The answer to a change with faults.
+/// The response to a change whose document has errors.
 #[derive(Serialize)]
 pub(crate) struct Refused {
     pub(crate) outcome: &'static str,
     pub(crate) faults: Vec<FaultRow>,
 }
 
-/// One fault.
+/// One error in a document.
 #[derive(Serialize)]
 pub(crate) struct FaultRow {
     file: String,
@@ -109,7 +109,7 @@
     pub(crate) document: Arc<Document>,
 }
 
-/// The body of a mark.
+/// The request body of a mark.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct MarkBody {
@@ -118,7 +118,7 @@
     pub(crate) leaving: bool,
 }
 
-/// What to do with a member.
+/// The requested change of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum MemberAction {
@@ -126,7 +126,7 @@
     Remove,
 }
 
-/// The body of a change of members.
+/// The request body of a change of members.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct MemberBody {
@@ -134,7 +134,7 @@
     pub(crate) vm: VmName,
 }
 
-/// The body of a transfer.
+/// The request body of a leadership transfer.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct TransferBody {
@@ -164,7 +164,7 @@
     pub(crate) vm: VmName,
     pub(crate) node: String,
     pub(crate) kind: &'static str,
-    /// The highest index it is known to hold; the leader alone knows.
+    /// The highest index that the member is known to have stored; known to the leader only.
     #[serde(rename = "match")]
     pub(crate) matched: Option<u64>,
 }
@@ -175,9 +175,9 @@
     pub(crate) vm: VmName,
     pub(crate) site: String,
     pub(crate) version: Version,
-    /// Milliseconds since it last asked for a confirmation.
+    /// Milliseconds since the entry last requested a confirmation.
     pub(crate) age_ms: Option<u64>,
-    /// Why it is behind, if it is.
+    /// Why the entry is behind, if it is.
     pub(crate) why: Option<String>,
 }
 
@@ -229,15 +229,15 @@
     }
 }
 
-/// Use by stage.
+/// The response to a usage report.
 #[derive(Serialize)]
 pub(crate) struct ReportRows {
     pub(crate) rows: Vec<ReportRow>,
-    /// Members that gave no rows.
+    /// The members that did not reply.
     pub(crate) unheard: Vec<VmName>,
 }
 
-/// Use of one customer's stage in one pool.
+/// The usage of one customer's stage in one pool.
 #[derive(Serialize)]
 pub(crate) struct ReportRow {
     pub(crate) customer: String,
@@ -247,6 +247,6 @@
     pub(crate) busy_us: u64,
     pub(crate) tokens: u64,
     pub(crate) wasted_us: u64,
-    /// In the service's unit of account, of used and wasted busy time.
+    /// The cost of used and wasted busy time, in the service's unit of account.
     pub(crate) cost: f64,
 }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the operators' side: xitca-web on threads of its own.
+//! The HTTP server of the operators' API: xitca-web on its own threads.
 
 use std::convert::Infallible;
 use std::net::{SocketAddr, TcpListener};
@@ -16,34 +16,34 @@
 use xitca_web::http::WebResponse;
 use xitca_web::{App, WebContext};
 
-use crate::answers::Page;
 use crate::operators::{BODY_LIMIT, Call, Operators};
+use crate::responses::HttpResponse;
 
-/// How long a whole body may take.
+/// The timeout for receiving a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long the head of a request may take.
+/// The timeout for receiving a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long an idle connection is kept.
+/// How long an idle connection is kept open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long calls under way may take at the end.
-const GRACE: Duration = Duration::from_secs(1);
+/// How long running calls may take during shutdown.
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(1);
 
 /// The running server.
 pub(crate) struct HttpServer {
     address: SocketAddr,
-    /// Ends it, after the calls under way if told so.
+    /// Stops the server; `true` waits for running calls.
     stop: Box<dyn Fn(bool) + Send + Sync>,
     ended: watch::Receiver<bool>,
 }
 
 impl HttpServer {
-    /// Binds and serves.
+    /// Binds the address and starts serving.
     ///
     /// # Errors
-    /// Where the address cannot be bound or no thread be started.
+    /// Returns an error if the address cannot be bound or no thread can be started.
     pub(crate) fn bind(address: SocketAddr, operators: Arc<Operators>) -> StepResult<Self> {
         let fault = |e: std::io::Error| StepError::new("bind operators' HTTP", e).at(address);
         let listener = TcpListener::bind(address).map_err(fault)?;
@@ -65,7 +65,7 @@
             .name("operators".to_owned())
             .spawn(move || {
                 if let Err(e) = server.wait() {
-                    log::error!("operators' HTTP ended: {e}");
+                    log::error!("the operators' HTTP server failed: {e}");
                 }
                 ended_to.send_replace(true);
             })
@@ -79,13 +79,14 @@
         self.address
     }
 
-    /// Ends it once the calls under way are answered, or after [`GRACE`]; its port is free then.
+    /// Stops the server after the running calls, or after [`SHUTDOWN_GRACE`]. The port is free
+    /// afterwards.
     pub(crate) async fn stop(&self) {
         let mut ended = self.ended.clone();
         (self.stop)(true);
-        if timeout(GRACE, ended.wait_for(|it| *it)).await.is_err() {
+        if timeout(SHUTDOWN_GRACE, ended.wait_for(|it| *it)).await.is_err() {
             (self.stop)(false);
-            let _ = timeout(GRACE, ended.wait_for(|it| *it)).await;
+            let _ = timeout(SHUTDOWN_GRACE, ended.wait_for(|it| *it)).await;
         }
     }
 }
@@ -101,11 +102,16 @@
     Ok(response)
 }
 
-async fn read(ctx: &WebContext<'_, Arc<Operators>>) -> Result<Call, Page> {
+async fn read(ctx: &WebContext<'_, Arc<Operators>>) -> Result<Call, HttpResponse> {
     let body = std::mem::take(&mut *ctx.body_borrow_mut());
     let body = match timeout(BODY_TIMEOUT, collect(body)).await {
         Ok(body) => body?,
-        Err(_) => return Err(Page::fault(StatusCode::REQUEST_TIMEOUT, "the body came too slowly")),
+        Err(_) => {
+            return Err(HttpResponse::error(
+                StatusCode::REQUEST_TIMEOUT,
+                "the body came too slowly",
+            ));
+        }
     };
     let request = ctx.req();
     let authorization = request.headers().get(AUTHORIZATION).and_then(|it| it.to_str().ok());
@@ -118,16 +124,17 @@
     })
 }
 
-async fn collect(body: RequestBody) -> Result<Vec<u8>, Page> {
+async fn collect(body: RequestBody) -> Result<Vec<u8>, HttpResponse> {
     let mut body = pin!(body);
     let mut bytes = Vec::new();
     while let Some(part) = body.as_mut().data().await {
-        let part =
-            part.map_err(|e| Page::fault(StatusCode::BAD_REQUEST, &format!("read body: {e}")))?;
+        let part = part.map_err(|e| {
+            HttpResponse::error(StatusCode::BAD_REQUEST, &format!("read body: {e}"))
+        })?;
         bytes.extend_from_slice(part.as_ref());
         if bytes.len() > BODY_LIMIT {
             let why = format!("the body exceeds {BODY_LIMIT} bytes");
-            return Err(Page::fault(StatusCode::PAYLOAD_TOO_LARGE, &why));
+            return Err(HttpResponse::error(StatusCode::PAYLOAD_TOO_LARGE, &why));
         }
     }
     Ok(bytes)
--- a/crates/control/src/session.rs
+++ b/crates/control/src/session.rs
@@ -1,4 +1,4 @@
-//! One entry's session: its requests, and what is pushed to it.
+//! One entry's session: handles its requests and pushes data to it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,27 +9,28 @@
 use types::{Incarnation, StepResult, UnixMillis, Version, VmName};
 use wire::session::{ControlMessage, EntryMessage, Ticket};
 
-use crate::ask::Denied;
 use crate::push::Push;
+use crate::request::RequestError;
 use crate::sessions::Sessions;
 
-/// How long a confirmation may take before it is answered as rejected.
+/// How long a confirmation may take before it is rejected.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a command may take before it is answered as uncertain: slow disks may need several syncs.
+/// How long a command may take before its result is reported as uncertain. Slow disks may need
+/// several syncs.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How many requests of one entry run at once; more wait on its connection.
+/// The maximum number of concurrent requests of one entry; further ones wait on its connection.
 const REQUEST_LIMIT: usize = 1024;
 
-/// How many answers may wait for the connection.
+/// The maximum number of responses that wait for the connection.
 const ANSWER_LIMIT: usize = 2 * REQUEST_LIMIT;
 
-/// How often a session looks whether the state still counts its entry as alive.
-const LIVE_PERIOD: Duration = Duration::from_secs(1);
+/// How often a session checks whether the replicated state still lists its entry.
+const LIVE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The pause before another attempt to enter.
-const ENTER_PAUSE: Duration = Duration::from_millis(200);
+/// The delay before the next attempt to register the entry.
+const ENTER_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// One session.
 pub(crate) struct Session {
@@ -38,15 +39,15 @@
     vm: VmName,
     owner: Incarnation,
     have: Version,
-    /// The entry cannot use an edit.
-    whole: Arc<Notify>,
+    /// Notified when the entry could not apply an edit and needs the full document.
+    need_full: Arc<Notify>,
 }
 
-/// What each request's task needs.
+/// The data for the task of each request.
 #[derive(Clone)]
 struct Requests {
     sessions: Arc<Sessions>,
-    answers: mpsc::Sender<ControlMessage>,
+    responses: mpsc::Sender<ControlMessage>,
     entered: watch::Receiver<bool>,
 }
 
@@ -58,25 +59,25 @@
         owner: Incarnation,
         have: Version,
     ) -> Self {
-        Self { sessions, number, vm, owner, have, whole: Arc::default() }
+        Self { sessions, number, vm, owner, have, need_full: Arc::default() }
     }
 
     /// Serves the entry until its connection ends.
     ///
     /// # Errors
-    /// Where the connection broke.
+    /// Returns an error if the connection failed.
     pub(crate) async fn run(
         self,
         sender: wire::Sender<ControlMessage>,
         mut receiver: wire::Receiver<EntryMessage>,
     ) -> StepResult<()> {
-        let (answers, queue) = mpsc::channel(ANSWER_LIMIT);
+        let (responses, queue) = mpsc::channel(ANSWER_LIMIT);
         let (entered_to, entered) = watch::channel(false);
-        let leave = answers.clone();
-        let requests = Requests { sessions: Arc::clone(&self.sessions), answers, entered };
-        let whole = Arc::clone(&self.whole);
+        let leave = responses.clone();
+        let requests = Requests { sessions: Arc::clone(&self.sessions), responses, entered };
+        let need_full = Arc::clone(&self.need_full);
         let push = Push::new(Arc::clone(&self.sessions), self.vm.clone(), sender, self.have);
-        let pushing = push.run(queue, whole);
+        let pushing = push.run(queue, need_full);
         let entering =
             enter(Arc::clone(&self.sessions), self.vm.clone(), self.owner, entered_to, leave);
         tokio::select! {
@@ -91,36 +92,37 @@
         receiver: &mut wire::Receiver<EntryMessage>,
         requests: Requests,
     ) -> StepResult<()> {
-        let room = Arc::new(Semaphore::new(REQUEST_LIMIT));
+        let permits = Arc::new(Semaphore::new(REQUEST_LIMIT));
         while let Some(message) = receiver.recv().await? {
             match message {
                 EntryMessage::Follow { .. } => {}
                 EntryMessage::Usage(report) => {
-                    // Use is summed and shares are guesses: a report that finds no room is lost.
+                    // Usage reports are sums and shares are estimates, so a report may be dropped
+                    // when the queue is full.
                     let _ = self.sessions.usage.try_send((self.vm.clone(), report));
                 }
-                EntryMessage::NeedWhole => self.whole.notify_one(),
+                EntryMessage::NeedWhole => self.need_full.notify_one(),
                 EntryMessage::Draining => self.sessions.draining(self.number),
                 EntryMessage::Behind { version, why } => {
                     self.sessions.behind(self.number, version, why);
                 }
                 EntryMessage::Confirm { ticket, have } => {
-                    self.sessions.asked(self.number, have);
-                    spawn(&room, requests.clone(), |it| it.confirm(ticket)).await;
+                    self.sessions.confirm_requested(self.number, have);
+                    spawn(&permits, requests.clone(), |it| it.confirm(ticket)).await;
                 }
-                other => spawn(&room, requests.clone(), |it| it.serve(other)).await,
+                other => spawn(&permits, requests.clone(), |it| it.serve(other)).await,
             }
         }
         Ok(())
     }
 }
 
-/// Runs a request in its own task, once there is room.
-async fn spawn<F>(room: &Arc<Semaphore>, requests: Requests, run: impl FnOnce(Requests) -> F)
+/// Runs a request in its own task once a permit is available.
+async fn spawn<F>(permits: &Arc<Semaphore>, requests: Requests, run: impl FnOnce(Requests) -> F)
 where
     F: Future<Output = ()> + Send + 'static,
 {
-    let Ok(permit) = Arc::clone(room).acquire_owned().await else {
+    let Ok(permit) = Arc::clone(permits).acquire_owned().await else {
         return;
     };
     let run = run(requests);
@@ -132,46 +134,48 @@
 
 impl Requests {
     async fn confirm(self, ticket: Ticket) {
-        let by = Instant::now() + CONFIRM_TIMEOUT;
-        let answer = match self.sessions.asker.read(by).await {
+        let deadline = Instant::now() + CONFIRM_TIMEOUT;
+        let answer = match self.sessions.leader_client.read(deadline).await {
             Ok(()) => {
-                let version = self.sessions.asker.core.published().borrow().version;
+                let version = self.sessions.leader_client.core.published().borrow().version;
                 ControlMessage::Confirmed { ticket, version }
             }
-            Err(denied) => ControlMessage::Rejected { ticket, reason: denied.to_string() },
+            Err(error) => ControlMessage::Rejected { ticket, reason: error.to_string() },
         };
-        let _ = self.answers.send(answer).await;
+        let _ = self.responses.send(answer).await;
     }
 
     async fn serve(mut self, message: EntryMessage) {
-        let by = Instant::now() + REQUEST_TIMEOUT;
+        let deadline = Instant::now() + REQUEST_TIMEOUT;
         let Some((ticket, command)) = command(message) else {
             return;
         };
-        // What goes wrong: an earlier life of the entry claimed and died. Until the state knows
-        // the new life, a resend of that claim would be told that it still runs.
+        // An earlier incarnation of the entry may have claimed a key and died. Until the state
+        // knows the new incarnation, a resend of that claim would be told that it is still running.
         let entered =
-            timeout_at(by, self.entered.wait_for(|it| *it)).await.is_ok_and(|it| it.is_ok());
+            timeout_at(deadline, self.entered.wait_for(|it| *it)).await.is_ok_and(|it| it.is_ok());
         let answer = match entered {
-            true => match self.sessions.asker.entry_command(command, by).await {
+            true => match self.sessions.leader_client.entry_command(command, deadline).await {
                 Ok(Reply::Claim(answer)) => ControlMessage::Claim { ticket, answer },
                 Ok(_) => ControlMessage::Committed { ticket },
-                Err(denied) => refusal(ticket, &denied),
+                Err(error) => error_message(ticket, &error),
             },
             false => {
                 let reason = "the state does not know this entry yet: no quorum".to_owned();
                 ControlMessage::Rejected { ticket, reason }
             }
         };
-        let _ = self.answers.send(answer).await;
+        let _ = self.responses.send(answer).await;
     }
 }
 
-fn refusal(ticket: Ticket, denied: &Denied) -> ControlMessage {
-    let reason = denied.to_string();
-    match denied {
-        Denied::NotRun(_) | Denied::Refused(_) => ControlMessage::Rejected { ticket, reason },
-        Denied::Uncertain(_) => ControlMessage::Uncertain { ticket, reason },
+fn error_message(ticket: Ticket, error: &RequestError) -> ControlMessage {
+    let reason = error.to_string();
+    match error {
+        RequestError::NotRun(_) | RequestError::Refused(_) => {
+            ControlMessage::Rejected { ticket, reason }
+        }
+        RequestError::Uncertain(_) => ControlMessage::Uncertain { ticket, reason },
     }
 }
 
@@ -189,40 +193,44 @@
     }
 }
 
-/// Makes the state know this life of the entry, for as long as the session lasts.
+/// Registers this incarnation of the entry in the replicated state and keeps it registered while
+/// the session lasts.
 ///
-/// What goes wrong: the leader declares the life lost in the moment in which its session opens, and
-/// the state then refuses every claim of a session that is alive. So the state is looked at again.
+/// The leader may declare the incarnation lost at the moment in which its session opens, and the
+/// state would then refuse every claim of a live session. The registration is therefore checked
+/// periodically.
 async fn enter(
     sessions: Arc<Sessions>,
     vm: VmName,
     owner: Incarnation,
     entered: watch::Sender<bool>,
-    answers: mpsc::Sender<ControlMessage>,
+    responses: mpsc::Sender<ControlMessage>,
 ) -> std::convert::Infallible {
     loop {
-        if sessions.is_outside() {
-            // A spare holds no state: it could neither serve nor confirm a version.
-            let _ = answers.send(ControlMessage::Leave).await;
-            tokio::time::sleep(LIVE_PERIOD).await;
+        if sessions.is_outside_cluster() {
+            // A spare has no replicated state, so it can neither serve the entry nor confirm a
+            // version.
+            let _ = responses.send(ControlMessage::Leave).await;
+            tokio::time::sleep(LIVE_CHECK_INTERVAL).await;
             continue;
         }
         let command = Command::Enter { vm: vm.clone(), owner };
-        let by = Instant::now() + REQUEST_TIMEOUT;
-        if sessions.asker.command(command, by).await.is_ok() {
+        let deadline = Instant::now() + REQUEST_TIMEOUT;
+        if sessions.leader_client.command(command, deadline).await.is_ok() {
             entered.send_replace(true);
-            while is_live(&sessions, &vm, owner).await {
-                tokio::time::sleep(LIVE_PERIOD).await;
+            while is_incarnation_live(&sessions, &vm, owner).await {
+                tokio::time::sleep(LIVE_CHECK_INTERVAL).await;
             }
         }
-        tokio::time::sleep(ENTER_PAUSE).await;
+        tokio::time::sleep(ENTER_RETRY_DELAY).await;
     }
 }
 
-/// Tells whether the state as applied here counts this life as alive; it may lag for a moment.
-async fn is_live(sessions: &Sessions, vm: &VmName, owner: Incarnation) -> bool {
-    tokio::time::sleep(LIVE_PERIOD).await;
+/// Returns whether the state applied by this member lists the incarnation; that state may lag
+/// behind the leader's.
+async fn is_incarnation_live(sessions: &Sessions, vm: &VmName, owner: Incarnation) -> bool {
+    tokio::time::sleep(LIVE_CHECK_INTERVAL).await;
     let vm = vm.clone();
-    let look = move |state: &State| state.lives().any(|it| (it.0, it.1) == (&vm, owner));
-    sessions.asker.core.look(look).await.unwrap_or(true)
+    let is_known = move |state: &State| state.lives().any(|it| (it.0, it.1) == (&vm, owner));
+    sessions.leader_client.core.inspect(is_known).await.unwrap_or(true)
 }
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -10,54 +10,57 @@
 use types::{Incarnation, SiteName, StepResult, Version, VmName};
 use wire::session::{ControlMessage, EntryMessage, UsageReport};
 
-use crate::asker::Asker;
-use crate::board::ShareBoard;
 use crate::digest::DigestTable;
 use crate::history::History;
-use crate::protocol::EntrySeen;
+use crate::leader_client::LeaderClient;
+use crate::protocol::EntryStatus;
 use crate::session::Session;
+use crate::share_store::ShareStore;
 
-/// How long an entry may take to say whom it follows.
+/// How long an entry may take to send its first message.
 const FOLLOW_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Every session, and what is pushed to all of them.
+/// All open sessions and the data that is pushed to them.
 pub(crate) struct Sessions {
-    pub(crate) asker: Asker,
+    pub(crate) leader_client: LeaderClient,
     pub(crate) digest: DigestTable,
-    pub(crate) shares: ShareBoard,
+    pub(crate) shares: ShareStore,
     pub(crate) history: History,
-    /// Where reports of use go.
+    /// Receives the entries' usage reports.
     pub(crate) usage: mpsc::Sender<(VmName, UsageReport)>,
     leave: watch::Sender<bool>,
-    open: Mutex<BTreeMap<u64, Open>>,
-    next: AtomicU64,
-    /// Counts changes of what is known of the entries, their ages aside.
-    edition: AtomicU64,
+    open: Mutex<BTreeMap<u64, OpenSession>>,
+    next_number: AtomicU64,
+    /// Incremented when the status of any entry changes in more than its age.
+    revision: AtomicU64,
 }
 
 /// One open session.
-struct Open {
+struct OpenSession {
     vm: VmName,
     site: SiteName,
     owner: Incarnation,
     version: Version,
-    asked: Option<Instant>,
+    confirm_requested: Option<Instant>,
     draining: bool,
     behind: Option<(Version, String)>,
 }
 
 impl Sessions {
-    pub(crate) fn new(asker: Asker, usage: mpsc::Sender<(VmName, UsageReport)>) -> Self {
+    pub(crate) fn new(
+        leader_client: LeaderClient,
+        usage: mpsc::Sender<(VmName, UsageReport)>,
+    ) -> Self {
         Self {
-            asker,
+            leader_client,
             digest: DigestTable::new(),
             history: History::default(),
-            shares: ShareBoard::default(),
+            shares: ShareStore::default(),
             usage,
             leave: watch::channel(false).0,
             open: Mutex::default(),
-            next: AtomicU64::new(1),
-            edition: AtomicU64::new(0),
+            next_number: AtomicU64::new(1),
+            revision: AtomicU64::new(0),
         }
     }
 
@@ -66,28 +69,28 @@
         self.leave.send_replace(true);
     }
 
-    /// Returns a receiver that turns true when this member drains.
+    /// Returns a receiver that turns `true` when this member drains.
     pub(crate) fn leaving(&self) -> watch::Receiver<bool> {
         self.leave.subscribe()
     }
 
-    /// Returns a number that differs once anything but ages has changed.
-    pub(crate) fn edition(&self) -> u64 {
-        self.edition.load(Ordering::Relaxed)
+    /// Returns a number that changes whenever the status of any entry changes in more than its age.
+    pub(crate) fn revision(&self) -> u64 {
+        self.revision.load(Ordering::Relaxed)
     }
 
     fn change(&self) {
-        self.edition.fetch_add(1, Ordering::Relaxed);
+        self.revision.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns what is known of the entries that have a session here.
-    pub(crate) fn entries(&self) -> Vec<EntrySeen> {
-        let seen = |it: &Open| EntrySeen {
+    /// Returns the status of every entry that has a session with this member.
+    pub(crate) fn entries(&self) -> Vec<EntryStatus> {
+        let seen = |it: &OpenSession| EntryStatus {
             vm: it.vm.clone(),
             site: it.site.clone(),
             owner: it.owner,
             version: it.version,
-            age_ms: it.asked.map(|at| at.elapsed().as_millis() as u64),
+            age_ms: it.confirm_requested.map(|at| at.elapsed().as_millis() as u64),
             draining: it.draining,
             behind: it.behind.clone(),
         };
@@ -97,13 +100,13 @@
     /// Runs one entry's session until its connection ends.
     pub(crate) async fn run(self: Arc<Self>, connection: wire::Connection) {
         let hello = connection.hello().clone();
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let ended = Arc::clone(&self).follow(number, connection).await;
         self.lock().remove(&number);
         self.change();
         match ended {
-            Ok(()) => log::info!(vm:% = hello.vm; "entry's session closed"),
-            Err(e) => log::info!(vm:% = hello.vm; "entry's session ended: {e}"),
+            Ok(()) => log::info!(vm:% = hello.vm; "the entry closed its session"),
+            Err(e) => log::info!(vm:% = hello.vm; "the session of an entry failed: {e}"),
         }
     }
 
@@ -112,40 +115,42 @@
         let (sender, mut receiver) = connection.split::<ControlMessage, EntryMessage>();
         let first = tokio::time::timeout(FOLLOW_TIMEOUT, receiver.recv()).await;
         let Ok(Ok(Some(EntryMessage::Follow { vm, site, owner, have }))) = first else {
-            log::warn!(vm:% = hello.vm; "an entry opened a connection and named no session");
+            log::warn!(vm:% = hello.vm; "closed the connection of an entry that did not start a session in time");
             return Ok(());
         };
         if vm != hello.vm || owner.0 != hello.node {
-            log::warn!(vm:% = hello.vm, named:% = vm; "an entry names another than it has proven");
+            log::warn!(vm:% = hello.vm, named:% = vm; "closed the connection of an entry that claims another identity than it authenticated with");
             return Ok(());
         }
-        log::info!(vm:% = vm, site:% = site, have = have.0; "entry follows");
-        let open = Open {
+        log::info!(vm:% = vm, site:% = site, have = have.0; "an entry started a session");
+        let open = OpenSession {
             vm: vm.clone(),
             site,
             owner,
             version: have,
-            asked: None,
+            confirm_requested: None,
             draining: false,
             behind: None,
         };
         self.lock().insert(number, open);
         self.change();
-        // A session that ends before the next look would leave no trace.
-        self.history.note(&self.entries());
+        // Records the entry now, because a session that ends before the next announcement would
+        // otherwise leave no trace.
+        self.history.record(&self.entries());
         Session::new(self, number, vm, owner, have).run(sender, receiver).await
     }
 
-    /// Tells whether this member takes no part in a cluster that others belong to.
-    pub(crate) fn is_outside(&self) -> bool {
-        let view = self.asker.core.view();
-        view.membership.voters.is_empty() && self.asker.peers.leader().is_some()
+    /// Returns whether this member does not belong to the cluster while another member announces
+    /// its leader.
+    pub(crate) fn is_outside_cluster(&self) -> bool {
+        let view = self.leader_client.core.view();
+        view.membership.voters.is_empty() && self.leader_client.peers.leader().is_some()
     }
 
-    /// Notes that the entry asked for a confirmation.
-    pub(crate) fn asked(&self, number: u64, have: Version) {
+    /// Records that the entry requested a confirmation and which version it has.
+    pub(crate) fn confirm_requested(&self, number: u64, have: Version) {
         let known = self.lock().get_mut(&number).map(|open| {
-            open.asked = Some(Instant::now());
+            open.confirm_requested = Some(Instant::now());
             std::mem::replace(&mut open.version, have)
         });
         if known != Some(have) {
@@ -153,7 +158,7 @@
         }
     }
 
-    /// Notes that the entry drains.
+    /// Records that the entry drains.
     pub(crate) fn draining(&self, number: u64) {
         if let Some(open) = self.lock().get_mut(&number) {
             open.draining = true;
@@ -161,7 +166,7 @@
         self.change();
     }
 
-    /// Notes that the entry keeps a version out.
+    /// Records that the entry did not install a version, and the reason.
     pub(crate) fn behind(&self, number: u64, version: Version, why: String) {
         if let Some(open) = self.lock().get_mut(&number) {
             open.behind = Some((version, why));
@@ -169,7 +174,7 @@
         self.change();
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<u64, Open>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<u64, OpenSession>> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/control/src/shares.rs
+++ b/crates/control/src/shares.rs
@@ -1,14 +1,16 @@
-//! Hands out the customers' limits to the entries, by their demand, and names only what changed.
+//! Divides the customers' limits among the entries by demand, and reports only the shares that
+//! changed.
 //!
-//! Every entry keeps a floor, so that a customer's first requests at an entry need no round trip;
-//! the rest follows the demand that the entries reported, refused requests included. The shares of
-//! one customer sum to its limit at most. An entry that is silent keeps its last share, and so
-//! its part stays set aside for [`HOLD`], by when its session's service is no longer trusted.
+//! Every entry gets a minimum share, so that a customer's first requests at an entry need no round
+//! trip. The rest follows the demand that the entries reported, including refused requests. The
+//! shares of one customer sum to at most its limit. An entry that is silent keeps its last share,
+//! so that share stays reserved for [`SILENT_ENTRY_HOLD`]; after that time the entry itself no
+//! longer trusts its service.
 //!
-//! A customer's shares stay as they are while every entry's demand fits well into its share, and
-//! move only by more than [`STEP`]: 1,100 customers at 380 entries cost nothing while they are
-//! content. Shares that fall and those that rise are named in the same round, so the sum exceeds
-//! the limit only for as long as the falling ones take to arrive.
+//! A customer's shares stay unchanged while the demand at every entry is well below its share, and
+//! they change only by more than [`MIN_RELATIVE_CHANGE`]. 1,100 customers at 380 entries therefore
+//! cause no messages while their demand is met. Decreases and increases are reported in the same
+//! round, so the sum exceeds the limit only until the decreases arrive.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -16,77 +18,78 @@
 use types::{Customer, CustomerLimits, CustomerName, Rate, SiteName, VmName};
 use wire::session::{CustomerShare, UsageReport};
 
-/// How long the part of a silent entry stays set aside.
-pub(crate) const HOLD: Duration = Duration::from_secs(10);
+/// How long the share of a silent entry stays reserved.
+pub(crate) const SILENT_ENTRY_HOLD: Duration = Duration::from_secs(10);
 
-/// The part of a limit that is handed out evenly, whatever the demand.
-const FLOOR: f64 = 0.2;
+/// The fraction of a limit that is divided evenly, regardless of demand.
+const EVEN_FRACTION: f64 = 0.2;
 
-/// The weight of the newest report in the running demand.
-const NEWEST: f64 = 0.5;
+/// The weight of the newest report in the exponentially smoothed demand.
+const NEWEST_WEIGHT: f64 = 0.5;
 
-/// The part of its share that an entry's demand may take until the customer's shares are made anew.
-const CONTENT: f64 = 0.5;
+/// The fraction of its share that an entry's demand may reach before the customer's shares are
+/// recomputed.
+const TARGET_UTILIZATION: f64 = 0.5;
 
-/// The part of itself by which a share must change to be handed out anew.
-const STEP: f64 = 0.1;
+/// The relative change below which a share is not reported again.
+const MIN_RELATIVE_CHANGE: f64 = 0.1;
 
-/// Below this a running demand is none: it is forgotten.
-const LEAST: f64 = 1e-3;
+/// A smoothed demand below this value is removed.
+const MIN_DEMAND: f64 = 1e-3;
 
 /// Shares by entry.
 pub type SharesByEntry = BTreeMap<VmName, Vec<CustomerShare>>;
 
-/// What every customer is, as one site sees it.
+/// All customers, as one site sees them.
 type Customers = BTreeMap<CustomerName, Customer>;
 
 /// One customer's demand at one entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Demand {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests under way at once.
+    /// Concurrent requests.
     pub concurrency: f64,
-    /// Tokens a second.
+    /// Tokens per second.
     pub tokens: f64,
 }
 
-/// The demand of every entry, and what was handed out to it.
+/// The demand at every entry and the shares assigned to it.
 #[derive(Debug, Default)]
 pub struct ShareTable {
     entries: BTreeMap<VmName, Entry>,
-    /// What the shares were made for; empty where all are to be made anew.
-    made_for: Vec<(VmName, SiteName)>,
+    /// The entries for which the shares were computed; empty if all shares are to be recomputed.
+    computed_for: Vec<(VmName, SiteName)>,
     limits: BTreeMap<SiteName, BTreeMap<CustomerName, CustomerLimits>>,
 }
 
 #[derive(Debug)]
 struct Entry {
     site: SiteName,
-    heard: Instant,
+    last_seen: Instant,
     demand: BTreeMap<CustomerName, Demand>,
-    given: BTreeMap<CustomerName, CustomerShare>,
+    assigned: BTreeMap<CustomerName, CustomerShare>,
 }
 
 impl ShareTable {
-    /// Notes that an entry has a session.
-    pub fn see(&mut self, vm: &VmName, site: &SiteName, now: Instant) {
+    /// Records that an entry has a session.
+    pub fn mark_seen(&mut self, vm: &VmName, site: &SiteName, now: Instant) {
         let entry = self.entries.entry(vm.clone()).or_insert_with(|| Entry {
             site: site.clone(),
-            heard: now,
+            last_seen: now,
             demand: BTreeMap::new(),
-            given: BTreeMap::new(),
+            assigned: BTreeMap::new(),
         });
         entry.site = site.clone();
-        entry.heard = now;
+        entry.last_seen = now;
     }
 
-    /// Forgets an entry: it drains and takes no new requests.
-    pub fn forget(&mut self, vm: &VmName) {
+    /// Removes an entry that drains and takes no new requests.
+    pub fn remove(&mut self, vm: &VmName) {
         self.entries.remove(vm);
     }
 
-    /// Takes an entry's report.
+    /// Adds an entry's usage report to its demand.
     pub fn report(&mut self, vm: &VmName, report: &UsageReport) {
         let Some(entry) = self.entries.get_mut(vm) else {
             return;
@@ -97,64 +100,66 @@
         }
         for used in &report.customers {
             let demand = entry.demand.entry(used.customer.clone()).or_default();
-            // The loop above halved it already; this adds the newest half.
-            demand.rate += NEWEST * f64::from(used.requests) / seconds;
-            demand.concurrency += NEWEST * f64::from(used.concurrency);
-            demand.tokens += NEWEST * used.tokens.0 as f64 / seconds;
+            // The loop above has already scaled the old demand by the remaining weight; this adds
+            // the newest part.
+            demand.rate += NEWEST_WEIGHT * f64::from(used.requests) / seconds;
+            demand.concurrency += NEWEST_WEIGHT * f64::from(used.concurrency);
+            demand.tokens += NEWEST_WEIGHT * used.tokens.0 as f64 / seconds;
         }
-        entry.demand.retain(|_, it| !it.is_none());
+        entry.demand.retain(|_, it| !it.is_negligible());
     }
 
-    /// Forgets what was handed out: another led in the meantime.
+    /// Clears the assigned shares, because another member led in the meantime.
     pub fn reset(&mut self) {
-        self.made_for.clear();
-        self.entries.values_mut().for_each(|it| it.given.clear());
+        self.computed_for.clear();
+        self.entries.values_mut().for_each(|it| it.assigned.clear());
     }
 
-    /// Returns everything that was handed out.
-    pub fn whole(&self) -> SharesByEntry {
-        let row = |it: &Entry| it.given.values().cloned().collect();
+    /// Returns all assigned shares.
+    pub fn all(&self) -> SharesByEntry {
+        let row = |it: &Entry| it.assigned.values().cloned().collect();
         self.entries.iter().map(|(vm, it)| (vm.clone(), row(it))).collect()
     }
 
-    /// Hands out the limits; `customers` gives the customers as an entry's site sees them. Returns
-    /// the shares that changed, those without a limit any more among them.
-    pub fn hand_out<'a>(
+    /// Assigns the limits to the entries; `customers` returns the customers as an entry's site sees
+    /// them. Returns the shares that changed, including those that no longer have a limit.
+    pub fn allocate<'a>(
         &mut self,
         now: Instant,
         customers: impl Fn(&SiteName) -> Option<&'a Customers>,
     ) -> SharesByEntry {
-        self.entries.retain(|_, entry| now.duration_since(entry.heard) < HOLD);
-        let moved = self.entries_moved();
-        let mut due = self.limits_moved(customers);
-        if moved {
+        self.entries.retain(|_, entry| now.duration_since(entry.last_seen) < SILENT_ENTRY_HOLD);
+        let changed_entries = self.update_entries();
+        let mut due = self.update_limits(customers);
+        if changed_entries {
             due.extend(self.limits.values().flat_map(|it| it.keys().cloned()));
         }
-        let in_need = self.in_need();
+        let entries_over_share = self.entries_over_share();
         let mut changed = SharesByEntry::new();
-        for customer in due.union(&in_need) {
-            self.renew(customer, due.contains(customer), &mut changed);
+        for customer in due.union(&entries_over_share) {
+            self.recompute(customer, due.contains(customer), &mut changed);
         }
         changed
     }
 
-    /// Tells whether other entries are there than the shares were made for, and notes them.
-    fn entries_moved(&mut self) -> bool {
+    /// Returns whether the set of entries differs from that for which the shares were computed, and
+    /// records the new set.
+    fn update_entries(&mut self) -> bool {
         let now = self.entries.iter().map(|(vm, it)| (vm, &it.site));
-        if now.eq(self.made_for.iter().map(|(vm, site)| (vm, site))) {
+        if now.eq(self.computed_for.iter().map(|(vm, site)| (vm, site))) {
             return false;
         }
         let now = self.entries.iter().map(|(vm, it)| (vm.clone(), it.site.clone()));
-        self.made_for = now.collect();
+        self.computed_for = now.collect();
         true
     }
 
-    /// Returns the customers whose limits changed at any site, and notes the limits.
-    fn limits_moved<'a>(
+    /// Returns the customers whose limits changed at any site, and records the new limits.
+    fn update_limits<'a>(
         &mut self,
         customers: impl Fn(&SiteName) -> Option<&'a Customers>,
     ) -> BTreeSet<CustomerName> {
-        let mut moved = BTreeSet::new();
+        let mut changed = BTreeSet::new();
         let sites: BTreeSet<&SiteName> = self.entries.values().map(|it| &it.site).collect();
         for site in sites {
             let Some(customers) = customers(site) else {
@@ -166,32 +171,33 @@
                 continue;
             }
             let new = now.clone().filter(|(name, it)| known.get(*name) != Some(it));
-            moved.extend(new.map(|(name, _)| name.clone()));
-            moved.extend(known.keys().filter(|it| !customers.contains_key(*it)).cloned());
+            changed.extend(new.map(|(name, _)| name.clone()));
+            changed.extend(known.keys().filter(|it| !customers.contains_key(*it)).cloned());
             *known = now.map(|(name, it)| (name.clone(), it.clone())).collect();
         }
-        moved
+        changed
     }
 
-    /// Returns the customers whose demand at some entry outgrows its share there.
-    fn in_need(&self) -> BTreeSet<CustomerName> {
+    /// Returns the customers whose demand at some entry exceeds the target utilization of its
+    /// share.
+    fn entries_over_share(&self) -> BTreeSet<CustomerName> {
         let mut names = BTreeSet::new();
         for entry in self.entries.values() {
-            let needy = entry.demand.iter().filter(|(name, demand)| {
-                entry.given.get(*name).is_some_and(|share| demand.outgrows(share))
+            let over_share = entry.demand.iter().filter(|(name, demand)| {
+                entry.assigned.get(*name).is_some_and(|share| demand.exceeds_share(share))
             });
-            names.extend(needy.map(|(name, _)| name.clone()));
+            names.extend(over_share.map(|(name, _)| name.clone()));
         }
         names
     }
 
-    /// Makes one customer's shares anew and adds those that changed. Small changes wait unless
-    /// `exact`, or the sum would exceed the limit by them.
-    fn renew(&mut self, customer: &CustomerName, exact: bool, changed: &mut SharesByEntry) {
+    /// Recomputes one customer's shares and adds the changed ones to `changed`. Small changes are
+    /// left out, unless `exact` is set or the sum would exceed the limit without them.
+    fn recompute(&mut self, customer: &CustomerName, exact: bool, changed: &mut SharesByEntry) {
         let shares = self.shares(customer);
-        let exact = exact || self.exceeds(customer, &shares);
+        let exact = exact || self.exceeds_limit(customer, &shares);
         for ((vm, entry), share) in self.entries.iter_mut().zip(shares) {
-            let before = entry.given.get(customer);
+            let before = entry.assigned.get(customer);
             let same = match before {
                 Some(before) if exact => *before == share,
                 Some(before) => is_near(before, &share),
@@ -201,23 +207,24 @@
                 continue;
             }
             if is_empty(&share) {
-                entry.given.remove(customer);
+                entry.assigned.remove(customer);
             } else {
-                entry.given.insert(customer.clone(), share.clone());
+                entry.assigned.insert(customer.clone(), share.clone());
             }
             changed.entry(vm.clone()).or_default().push(share);
         }
     }
 
-    /// Tells whether keeping the shares that are near enough would hand out more than a limit.
-    fn exceeds(&self, customer: &CustomerName, shares: &[CustomerShare]) -> bool {
+    /// Returns whether the sum would exceed a limit if shares with only small changes were kept.
+    fn exceeds_limit(&self, customer: &CustomerName, shares: &[CustomerShare]) -> bool {
         let mut sums = [0.0; 3];
         for (entry, share) in self.entries.values().zip(shares) {
-            let kept = entry.given.get(customer).filter(|it| is_near(it, share)).unwrap_or(share);
+            let kept =
+                entry.assigned.get(customer).filter(|it| is_near(it, share)).unwrap_or(share);
             let limits = self.limits.get(&entry.site).and_then(|it| it.get(customer));
             let limits = limits.cloned().unwrap_or_default();
-            for (sum, part) in sums.iter_mut().zip(parts(kept, &limits)) {
-                *sum += part;
+            for (sum, fraction) in sums.iter_mut().zip(limit_fractions(kept, &limits)) {
+                *sum += fraction;
             }
         }
         sums.iter().any(|it| *it > 1.0 + 1e-9)
@@ -225,77 +232,80 @@
 
     /// Returns one customer's shares, in the order of the entries.
     fn shares(&self, customer: &CustomerName) -> Vec<CustomerShare> {
-        let rates = self.column(customer, |it| it.rate);
-        let tokens = self.column(customer, |it| it.tokens);
-        let concurrency = self.column(customer, |it| it.concurrency);
-        let mut whole: BTreeMap<u32, Vec<u32>> = BTreeMap::new();
-        let share = |(place, entry): (usize, &Entry)| {
+        let rates = self.fractions(customer, |it| it.rate);
+        let tokens = self.fractions(customer, |it| it.tokens);
+        let concurrency = self.fractions(customer, |it| it.concurrency);
+        let mut by_limit: BTreeMap<u32, Vec<u32>> = BTreeMap::new();
+        let share = |(index, entry): (usize, &Entry)| {
             let limits = self.limits.get(&entry.site).and_then(|it| it.get(customer));
             let limits = limits.cloned().unwrap_or_default();
             let mut calls =
-                |it: u32| whole.entry(it).or_insert_with(|| whole_parts(it, &concurrency))[place];
+                |it: u32| by_limit.entry(it).or_insert_with(|| apportion(it, &concurrency))[index];
             CustomerShare {
                 customer: customer.clone(),
-                rate: limits.rate.map(|it| Rate(it.0 * rates[place])),
+                rate: limits.rate.map(|it| Rate(it.0 * rates[index])),
                 concurrency: limits.concurrency.map(&mut calls),
-                tokens: limits.tokens.map(|it| Rate(it.0 * tokens[place])),
+                tokens: limits.tokens.map(|it| Rate(it.0 * tokens[index])),
             }
         };
         self.entries.values().enumerate().map(share).collect()
     }
 
-    /// Returns the part of one that belongs to each entry.
-    fn column(&self, customer: &CustomerName, of: impl Fn(&Demand) -> f64) -> Vec<f64> {
+    /// Returns each entry's fraction of the customer's limit; the fractions sum to one.
+    fn fractions(&self, customer: &CustomerName, of: impl Fn(&Demand) -> f64) -> Vec<f64> {
         let demand = |it: &Entry| it.demand.get(customer).map_or(0.0, &of);
         let demand: Vec<f64> = self.entries.values().map(demand).collect();
         let even = 1.0 / demand.len() as f64;
         let sum: f64 = demand.iter().sum();
-        let part = |it: f64| FLOOR * even + (1.0 - FLOOR) * it / sum;
-        demand.into_iter().map(|it| if sum <= 0.0 { even } else { part(it) }).collect()
+        let fraction = |it: f64| EVEN_FRACTION * even + (1.0 - EVEN_FRACTION) * it / sum;
+        demand.into_iter().map(|it| if sum <= 0.0 { even } else { fraction(it) }).collect()
     }
 }
 
 impl Demand {
     fn blend(&mut self, newest: Demand) {
-        self.rate = newest.rate * NEWEST + self.rate * (1.0 - NEWEST);
-        self.concurrency = newest.concurrency * NEWEST + self.concurrency * (1.0 - NEWEST);
-        self.tokens = newest.tokens * NEWEST + self.tokens * (1.0 - NEWEST);
+        self.rate = newest.rate * NEWEST_WEIGHT + self.rate * (1.0 - NEWEST_WEIGHT);
+        self.concurrency =
+            newest.concurrency * NEWEST_WEIGHT + self.concurrency * (1.0 - NEWEST_WEIGHT);
+        self.tokens = newest.tokens * NEWEST_WEIGHT + self.tokens * (1.0 - NEWEST_WEIGHT);
     }
 
-    fn is_none(&self) -> bool {
-        self.rate.max(self.concurrency).max(self.tokens) < LEAST
+    fn is_negligible(&self) -> bool {
+        self.rate.max(self.concurrency).max(self.tokens) < MIN_DEMAND
     }
 
-    fn outgrows(&self, share: &CustomerShare) -> bool {
-        let over = |demand: f64, share: Option<f64>| share.is_some_and(|it| demand > CONTENT * it);
+    fn exceeds_share(&self, share: &CustomerShare) -> bool {
+        let over = |demand: f64, share: Option<f64>| {
+            share.is_some_and(|it| demand > TARGET_UTILIZATION * it)
+        };
         over(self.rate, share.rate.map(|it| it.0))
             || over(self.concurrency, share.concurrency.map(f64::from))
             || over(self.tokens, share.tokens.map(|it| it.0))
     }
 }
 
-/// Returns which parts of the limits a share is.
-fn parts(share: &CustomerShare, limits: &CustomerLimits) -> [f64; 3] {
-    let part = |share: Option<f64>, limit: Option<f64>| match (share, limit) {
+/// Returns the share as a fraction of each limit.
+fn limit_fractions(share: &CustomerShare, limits: &CustomerLimits) -> [f64; 3] {
+    let fraction = |share: Option<f64>, limit: Option<f64>| match (share, limit) {
         (Some(share), Some(limit)) if limit > 0.0 => share / limit,
         _ => 0.0,
     };
     [
-        part(share.rate.map(|it| it.0), limits.rate.map(|it| it.0)),
-        part(share.concurrency.map(f64::from), limits.concurrency.map(f64::from)),
-        part(share.tokens.map(|it| it.0), limits.tokens.map(|it| it.0)),
+        fraction(share.rate.map(|it| it.0), limits.rate.map(|it| it.0)),
+        fraction(share.concurrency.map(f64::from), limits.concurrency.map(f64::from)),
+        fraction(share.tokens.map(|it| it.0), limits.tokens.map(|it| it.0)),
     ]
 }
 
-/// Tells whether a share holds no limit.
+/// Returns whether a share has no limit.
 fn is_empty(share: &CustomerShare) -> bool {
     share.rate.is_none() && share.concurrency.is_none() && share.tokens.is_none()
 }
 
-/// Tells whether two shares differ by no more than [`STEP`].
+/// Returns whether two shares differ by no more than [`MIN_RELATIVE_CHANGE`].
 fn is_near(before: &CustomerShare, after: &CustomerShare) -> bool {
     let near = |before: Option<f64>, after: Option<f64>| match (before, after) {
-        (Some(before), Some(after)) => (before - after).abs() <= STEP * before,
+        (Some(before), Some(after)) => (before - after).abs() <= MIN_RELATIVE_CHANGE * before,
         (before, after) => before == after,
     };
     near(before.rate.map(|it| it.0), after.rate.map(|it| it.0))
@@ -303,14 +313,14 @@
         && near(before.tokens.map(|it| it.0), after.tokens.map(|it| it.0))
 }
 
-/// Returns the whole units of `limit` by entry. What rounding leaves goes to the largest
-/// remainders, so a limit below the number of entries is still handed out.
-fn whole_parts(limit: u32, parts: &[f64]) -> Vec<u32> {
-    let exact: Vec<f64> = parts.iter().map(|it| f64::from(limit) * it).collect();
-    let mut whole: Vec<u32> = exact.iter().map(|it| it.floor() as u32).collect();
-    let rest = limit.saturating_sub(whole.iter().sum()) as usize;
+/// Divides `limit` into whole units by entry. The units left by rounding down go to the largest
+/// remainders, so that a limit below the number of entries is still assigned.
+fn apportion(limit: u32, fractions: &[f64]) -> Vec<u32> {
+    let exact: Vec<f64> = fractions.iter().map(|it| f64::from(limit) * it).collect();
+    let mut units: Vec<u32> = exact.iter().map(|it| it.floor() as u32).collect();
+    let rest = limit.saturating_sub(units.iter().sum()) as usize;
     let mut order: Vec<usize> = (0..exact.len()).collect();
     order.sort_by(|a, b| exact[*b].fract().total_cmp(&exact[*a].fract()).then(a.cmp(b)));
-    order.iter().take(rest).for_each(|at| whole[*at] += 1);
-    whole
+    order.iter().take(rest).for_each(|at| units[*at] += 1);
+    units
 }
--- a/crates/control/src/image.rs
+++ b/crates/control/src/state_machine.rs
@@ -1,50 +1,50 @@
-//! The replicated state as this crate drives it: the state proper, and what operators asked of
-//! the membership.
+//! The replicated state machine: the state of the `state` crate and the operators' changes to the
+//! set of members.
 
 use consensus::Snapshot;
 use serde::{Deserialize, Serialize};
 use state::{Command, Reply, State};
 use types::{LogIndex, StepError, StepResult};
 
-use crate::plan::Roll;
+use crate::plan::MemberOverrides;
 
-/// What a command `Member` of an operator says where it adds a VM.
+/// The text in a `Member` command of an operator that adds a VM.
 pub(crate) const ADDED: &str = "added by operator";
 
-/// What a command `Member` of an operator says where it removes a VM.
+/// The text in a `Member` command of an operator that removes a VM.
 pub(crate) const REMOVED: &str = "removed by operator";
 
-/// Everything that the log's commands build.
+/// The state that results from applying the log's commands.
 #[derive(Default)]
-pub(crate) struct Image {
+pub(crate) struct StateMachine {
     pub(crate) state: State,
-    pub(crate) roll: Roll,
+    pub(crate) overrides: MemberOverrides,
 }
 
-/// The data of a snapshot.
+/// The contents of a snapshot.
 #[derive(Serialize, Deserialize)]
-struct Saved {
+struct SnapshotData {
     state: Vec<u8>,
-    roll: Roll,
+    overrides: MemberOverrides,
 }
 
-impl Image {
+impl StateMachine {
     /// Applies one command of the log.
     ///
     /// # Errors
-    /// Where the bytes are no command.
+    /// Returns an error if the bytes are not a valid command.
     pub(crate) fn apply(&mut self, index: LogIndex, data: &[u8]) -> StepResult<Reply> {
         let command: Command = postcard::from_bytes(data)
             .map_err(|e| StepError::new("decode command", e).at(index))?;
         if let Command::Member { what, vm, operator: Some(_), .. } = &command {
             match what.as_str() {
                 ADDED => {
-                    self.roll.removed.remove(vm);
-                    self.roll.added.insert(vm.clone());
+                    self.overrides.removed.remove(vm);
+                    self.overrides.added.insert(vm.clone());
                 }
                 REMOVED => {
-                    self.roll.added.remove(vm);
-                    self.roll.removed.insert(vm.clone());
+                    self.overrides.added.remove(vm);
+                    self.overrides.removed.insert(vm.clone());
                 }
                 _ => {}
             }
@@ -52,27 +52,28 @@
         Ok(self.state.apply(index, command))
     }
 
-    /// Returns the data of a snapshot.
+    /// Returns the serialized contents for a snapshot.
     ///
     /// # Errors
-    /// Where it cannot be encoded.
+    /// Returns an error if the state cannot be encoded.
     pub(crate) fn save(&self) -> StepResult<Vec<u8>> {
-        let saved = Saved { state: self.state.snapshot(), roll: self.roll.clone() };
+        let saved =
+            SnapshotData { state: self.state.snapshot(), overrides: self.overrides.clone() };
         postcard::to_stdvec(&saved).map_err(|e| StepError::new("encode snapshot", e))
     }
 
-    /// Restores a snapshot; one without data is the empty beginning of a cluster.
+    /// Restores a snapshot. A snapshot without data is the empty initial state of a cluster.
     ///
     /// # Errors
-    /// Where its data is not an image.
+    /// Returns an error if the data cannot be decoded.
     pub(crate) fn restore(snapshot: &Snapshot) -> StepResult<Self> {
         if snapshot.data.is_empty() {
             return Ok(Self::default());
         }
         let fault = |e| StepError::new("decode snapshot", e).at(snapshot.index);
-        let saved: Saved = postcard::from_bytes(&snapshot.data).map_err(fault)?;
+        let saved: SnapshotData = postcard::from_bytes(&snapshot.data).map_err(fault)?;
         let state = State::restore(&saved.state)
             .map_err(|e| StepError::new("restore state", e).at(snapshot.index))?;
-        Ok(Self { state, roll: saved.roll })
+        Ok(Self { state, overrides: saved.overrides })
     }
 }
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -1,20 +1,20 @@
-//! What a member tells of itself, the members, the entries and the upstreams.
+//! The status of a member, as reported to operators.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use types::{Millis, VmName};
 
-use crate::answers::{EntryRow, MemberRow, Status, UpstreamRow};
+use crate::entry_monitor::SILENCE_TIMEOUT;
 use crate::member::Member;
-use crate::owners::SILENT;
-use crate::protocol::EntrySeen;
+use crate::protocol::EntryStatus;
+use crate::responses::{EntryRow, MemberRow, Status, UpstreamRow};
 use crate::view::View;
 
-/// An entry that was last seen longer ago is not listed any more.
-const FORGOTTEN: Duration = Duration::from_secs(3600);
+/// Entries that were last seen longer ago are not listed.
+const ENTRY_HISTORY_TIME: Duration = Duration::from_secs(3600);
 
-/// Tells what this member knows.
+/// Returns what this member knows about itself, the members, the entries and the upstreams.
 pub(crate) fn status(member: &Member) -> Status {
     let view = member.core.view();
     Status {
@@ -43,7 +43,7 @@
         Some(MemberRow { vm, node: node.to_string(), kind, matched: matched.map(|it| it.0) })
     };
     let mut rows: Vec<MemberRow> = voters.chain(learners).filter_map(row).collect();
-    let others = member.roster.all().into_iter().filter(|it| it.is_fresh());
+    let others = member.announcements.all().into_iter().filter(|it| it.is_fresh());
     for it in others.filter(|it| !view.membership.contains(it.announce.node)) {
         let (vm, node) = (it.announce.vm, it.announce.node.to_string());
         rows.push(MemberRow { vm, node, kind: "spare", matched: None });
@@ -51,37 +51,45 @@
     rows
 }
 
-/// Lists every entry that has a session with any member, or had one lately.
+/// Lists every entry that has a session with any member, or had one recently.
 fn entries(member: &Member, view: &View) -> Vec<EntryRow> {
-    let mut latest: BTreeMap<VmName, (EntrySeen, Option<Duration>)> = BTreeMap::new();
+    let mut latest: BTreeMap<VmName, (EntryStatus, Option<Duration>)> = BTreeMap::new();
     for (entry, ago) in member.sessions.history.all() {
-        if ago < FORGOTTEN {
+        if ago < ENTRY_HISTORY_TIME {
             latest.insert(entry.vm.clone(), (entry, Some(ago)));
         }
     }
     for entry in member.entries() {
         let known = latest.get(&entry.vm);
-        // An entry that moved may be listed by two members for a moment.
-        if known.is_none_or(|it| it.1.is_some() || is_later(&entry, &it.0)) {
+        // Two members may list an entry that moved from one to the other for a moment.
+        if known.is_none_or(|it| it.1.is_some() || is_more_recent(&entry, &it.0)) {
             latest.insert(entry.vm.clone(), (entry, None));
         }
     }
-    latest.into_values().map(|(entry, gone)| entry_row(member, view, entry, gone)).collect()
+    latest
+        .into_values()
+        .map(|(entry, absent_for)| entry_row(member, view, entry, absent_for))
+        .collect()
 }
 
-/// Tells whether an entry asked later by one sighting than by another.
-fn is_later(entry: &EntrySeen, than: &EntrySeen) -> bool {
-    let age = |it: &EntrySeen| it.age_ms.unwrap_or(u64::MAX);
-    age(entry) < age(than)
+/// Returns whether the entry requested a confirmation more recently according to the first status.
+fn is_more_recent(entry: &EntryStatus, other: &EntryStatus) -> bool {
+    let age = |it: &EntryStatus| it.age_ms.unwrap_or(u64::MAX);
+    age(entry) < age(other)
 }
 
-fn entry_row(member: &Member, view: &View, entry: EntrySeen, gone: Option<Duration>) -> EntryRow {
+fn entry_row(
+    member: &Member,
+    view: &View,
+    entry: EntryStatus,
+    absent_for: Option<Duration>,
+) -> EntryRow {
     let service = member.services.get(&entry.site);
     let fresh = service.map_or(Millis(0), |it| it.policy.freshness);
     let mut why = Vec::new();
-    let since = gone.map_or(0, |it| it.as_millis() as u64);
+    let since = absent_for.map_or(0, |it| it.as_millis() as u64);
     let age = entry.age_ms.map(|it| it.saturating_add(since));
-    if let Some(ago) = gone {
+    if let Some(ago) = absent_for {
         why.push(format!("no session with any member for {} ms", ago.as_millis()));
     }
     match age {
@@ -112,7 +120,7 @@
     }
 }
 
-/// The leader knows the upstreams at first hand; the others know the leader's digest.
+/// The leader reports its own view of the upstreams; the other members report the leader's digest.
 fn upstreams(member: &Member) -> Vec<UpstreamRow> {
     let view = member.fleet.view();
     if !view.leading {
@@ -130,12 +138,12 @@
         standing: it.standing,
         in_flight: it.in_flight,
         reported: it.reported,
-        why: joined(&it.why, &it.order),
+        why: join_reasons(&it.why, &it.order),
     };
     view.upstreams.iter().map(row).collect()
 }
 
-fn joined(why: &str, order: &str) -> Option<String> {
+fn join_reasons(why: &str, order: &str) -> Option<String> {
     let parts: Vec<&str> = [why, order].into_iter().filter(|it| !it.is_empty()).collect();
     (!parts.is_empty()).then(|| parts.join("; "))
 }
@@ -158,14 +166,18 @@
     for (node, vm) in view.membership.learners.keys().filter_map(|it| Some((it, view.vm(*it)?))) {
         why.push(format!("{vm} (node {node}) is a learner: it is being caught up"));
     }
-    if let Some(it) = member.hindrance.load().as_ref() {
+    if let Some(it) = member.step_failure.load().as_ref() {
         why.push(format!("members: {it}"));
     }
     if let Some(it) = &member.fleet.view().platform {
         why.push(format!("platform's list: {it}"));
     }
-    let lost =
-        member.sessions.history.all().into_iter().filter(|it| it.1 > SILENT && it.1 < FORGOTTEN);
+    let lost = member
+        .sessions
+        .history
+        .all()
+        .into_iter()
+        .filter(|it| it.1 > SILENCE_TIMEOUT && it.1 < ENTRY_HISTORY_TIME);
     for (entry, ago) in lost {
         why.push(format!("entry {} was last heard {} s ago", entry.vm, ago.as_secs()));
     }
