--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -1,4 +1,4 @@
-//! What the core loop shows to the other threads.
+//! State that the core loop publishes to the other threads.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,53 +7,53 @@
 use types::{Document, LogIndex, NodeId, Term, UpstreamName, Version, VmName};
 
 use crate::address::Address;
-use crate::plan::Roll;
+use crate::plan::MemberOverrides;
 
-/// The service and the marks as applied by this member.
+/// The service and the marks on upstreams, as applied by this member.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Published {
-    /// Its version; 0 before the first change.
+    /// The service version; 0 before the first change.
     pub version: Version,
-    /// The document.
+    /// The service document.
     pub document: Arc<Document>,
     /// The upstreams that operators marked as leaving.
     pub marks: BTreeSet<UpstreamName>,
 }
 
-/// The state of this member's consensus node, as of the last turn of the core loop.
+/// The state of this member's consensus node after the last iteration of the core loop.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// Its role.
+    /// The node's role.
     pub role: Role,
-    /// Its term.
+    /// The current term.
     pub term: Term,
-    /// The leader it knows.
+    /// The known leader.
     pub leader: Option<NodeId>,
-    /// Whether it leads and has committed an entry of its own term.
+    /// Whether the node leads and has committed an entry of its own term.
     pub settled: bool,
-    /// The highest committed index it knows.
+    /// The highest known committed index.
     pub commit: LogIndex,
-    /// The highest index applied to its state.
+    /// The highest applied index.
     pub applied: LogIndex,
-    /// The version it applied.
+    /// The applied service version.
     pub version: Version,
-    /// The membership in its log.
+    /// The membership in the log.
     pub membership: Membership,
-    /// The highest index each node is known to hold; the leader alone knows.
+    /// The highest index that each node is known to have stored; known to the leader only.
     pub progress: BTreeMap<NodeId, LogIndex>,
-    /// The other nodes heard of lately; the leader alone knows.
+    /// The other nodes from which the leader has heard recently; known to the leader only.
     pub active: BTreeSet<NodeId>,
-    /// What operators asked of the membership.
-    pub roll: Roll,
+    /// The operators' changes to the set of members.
+    pub overrides: MemberOverrides,
 }
 
 impl View {
-    /// Tells whether this member leads.
+    /// Returns whether this member leads.
     pub fn leads(&self) -> bool {
         self.role == Role::Leader
     }
 
-    /// Returns the VM of a node of the membership.
+    /// Returns the VM of a node in the membership.
     pub fn vm(&self, node: NodeId) -> Option<VmName> {
         let found = self.membership.voters.get(&node);
         let found = found.or_else(|| self.membership.learners.get(&node));
--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -1,9 +1,9 @@
-//! Three members in one process.
+//! Clusters of three members in one process.
 
 mod common;
 
 use common::entry::Entry;
-use common::{Cluster, PATIENCE, document, node_of, voters};
+use common::{Cluster, TIMEOUT, document, node_of, voters};
 use serde_json::{Value, json};
 use wire::session::ControlMessage;
 
@@ -20,7 +20,7 @@
     let again = cluster.call(2, "POST", "/v1/init", json!({})).await;
     assert_eq!(again.status, 409, "a second init: {}", again.body);
 
-    // A member that does not lead passes a change on, and all apply it.
+    // A follower forwards a change to the leader, and all members apply it.
     let leader = cluster.leader().await;
     let follower = (leader + 1) % 3;
     let answer = cluster.change(follower, &id(1), 0, "first").await;
@@ -31,18 +31,18 @@
         assert_eq!(service.body["document"], document("first"), "member {at}");
     }
 
-    // Leadership goes to whom an operator names, and away from whoever drains.
+    // Leadership moves to the member that an operator names, and away from a draining member.
     let transfer = json!({"vm": VMS[follower]});
     let answer = cluster.call((leader + 2) % 3, "POST", "/v1/transfer", transfer).await;
     assert_eq!(answer.status, 200, "{}", answer.body);
     cluster.wait_for(leader, "the transfer", |it| it["leader"] == VMS[follower]).await;
     cluster.wait_for(follower, "the transfer", |it| it["role"] == "leader").await;
-    cluster.running[follower].as_ref().expect("it runs").hand_over().await;
+    cluster.running[follower].as_ref().expect("it runs").transfer_leadership().await;
     let status = cluster.status(follower).await;
     assert_ne!(status["leader"], VMS[follower], "{status:#}");
     assert_ne!(status["leader"], Value::Null, "{status:#}");
 
-    // A drained leader is followed by another.
+    // Another member leads after the leader was drained.
     let leader = cluster.leader().await;
     let follower = (leader + 1) % 3;
     let term = cluster.status(leader).await["term"].as_u64();
@@ -53,7 +53,7 @@
     let answer = cluster.change(next, &id(2), 1, "second").await;
     assert_eq!(answer.status, 200, "{}", answer.body);
 
-    // All end and start again.
+    // All members stop and start again.
     for at in (0..3).filter(|at| *at != leader) {
         cluster.abort(at).await;
     }
@@ -72,12 +72,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_disk_comes_back_as_another_life() {
-    // Symptom: a member whose disk was replaced votes twice in a term.
-    // Sequence: it votes, its folder is emptied, it starts again under its old id and votes anew.
-    // Cause: an empty folder took up the life of the one before it.
+    // A member whose disk was replaced must not vote twice in a term. It would do so if it
+    // restarted with an empty folder under its previous node id.
     let mut cluster = Cluster::new(3, 0);
     cluster.init(&VMS).await;
-    // Enough for a snapshot, so that the new life is caught up by it.
+    // Enough data for a snapshot, so that the new incarnation catches up from it.
     let large = "x".repeat(8 << 10);
     for number in 0..12 {
         let answer = cluster.change(0, &id(number + 1), number, &format!("{number} {large}")).await;
@@ -94,7 +93,7 @@
     cluster.wait_for(leader, "the repair", repaired).await;
     cluster.wait_for(victim, "the repair", repaired).await;
 
-    // A second loss right after leaves a quorum that holds everything.
+    // After a second loss, the remaining quorum still has all data.
     cluster.abort(leader).await;
     let answer = cluster.change(victim, &id(99), 12, "after").await;
     assert_eq!((answer.status, &answer.body["version"]), (200, &json!(13)), "{}", answer.body);
@@ -104,9 +103,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_member_without_its_disk_stops() {
-    // Symptom: a member acknowledges what a restart forgets.
-    // Sequence: its disk fails, it goes on from memory and counts towards quorums, and restarts.
-    // Cause: a failed write was logged and passed over.
+    // A member whose disk fails must stop. If it continued with state in memory only and its
+    // acknowledgements counted towards quorums, a restart would lose what it acknowledged.
     let mut cluster = Cluster::new(3, 0);
     cluster.init(&VMS).await;
     let leader = cluster.leader().await;
@@ -119,7 +117,7 @@
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     let stopped = cluster.running[victim].as_ref().expect("it runs").stopped();
-    let reason = tokio::time::timeout(PATIENCE, stopped).await.expect("it stops");
+    let reason = tokio::time::timeout(TIMEOUT, stopped).await.expect("it stops");
     assert!(reason.starts_with("write snapshot"), "{reason}");
     let ready = cluster.call(victim, "GET", "/readyz", Value::Null).await;
     assert_eq!(ready.status, 503, "{}", ready.body);
@@ -134,7 +132,7 @@
     cluster.init(&VMS).await;
     let leader = cluster.leader().await;
 
-    // A spare holds no state and sends entries away.
+    // A spare has no replicated state and tells entries to leave.
     let mut entry = Entry::open(&cluster, 3, "e1", 11).await;
     entry.wait(|it| matches!(it, ControlMessage::Leave).then_some(())).await;
 
@@ -143,10 +141,10 @@
     let mut expected: Vec<&str> = VMS.into_iter().filter(|it| *it != VMS[victim]).collect();
     expected.push("c4");
     cluster.wait_for(leader, "the spare", |it| voters(it) == expected).await;
-    let answer = cluster.change(3, &id(1), 0, "by way of the spare").await;
+    let answer = cluster.change(3, &id(1), 0, "through the spare").await;
     assert_eq!(answer.status, 200, "{}", answer.body);
 
-    // The lost one comes back and waits; an operator may ask for it.
+    // The lost member returns and stays outside the cluster until an operator makes room for it.
     cluster.start(victim).await;
     let back = cluster.settings[victim].vm.clone();
     let remove = json!({"action": "remove", "vm": "c4"});
@@ -158,9 +156,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_is_accepted_without_a_quorum() {
-    // Symptom: an accepted change is gone, or a change that "did not run" is in force.
-    // Sequence: a leader loses its quorum, takes a change, and another log wins later.
-    // Cause: the change was answered before a quorum held it, or a lost answer was called a refusal.
+    // A leader that lost its quorum takes a change, and another log wins later. The change must not
+    // be reported as accepted before a quorum has stored it, nor as not run if its result is
+    // unknown. Otherwise an accepted change could disappear, or a change that "did not run" could
+    // be in force.
     let mut cluster = Cluster::new(3, 0);
     cluster.init(&VMS).await;
     let answer = cluster.change(0, &id(1), 0, "first").await;
@@ -180,7 +179,7 @@
     assert!(outcome == "unknown" || outcome == "not-run", "{}", answer.body);
     assert_eq!(read.status, 503, "a version that no quorum confirms: {}", read.body);
 
-    // The other two come back alone and decide without it; then it returns.
+    // The other two members return without the leader and commit a change; then the leader returns.
     cluster.abort(leader).await;
     for at in &others {
         cluster.start(*at).await;
@@ -195,9 +194,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn two_inits_make_one_cluster_at_most() {
-    // Symptom: two members answer operators with different services for good.
-    // Sequence: init is sent to two members at once, and each starts a cluster.
-    // Cause: neither asked the other, or both answered before either had decided.
+    // When init is sent to two members at once, at most one may start a cluster. If neither asked
+    // the other, or both replied before either had decided, two members would permanently serve
+    // different services.
     let mut cluster = Cluster::new(3, 0);
     cluster.start(0).await;
     let alone = cluster.call(0, "POST", "/v1/init", json!({})).await;
--- a/crates/control/tests/common/entry.rs
+++ b/crates/control/tests/common/entry.rs
@@ -1,4 +1,4 @@
-//! An entry of a test.
+//! A fake entry for tests.
 
 use std::collections::BTreeMap;
 
@@ -37,7 +37,8 @@
         Self { sender, receiver, vm, owner, names: LoadNames::default(), shares: BTreeMap::new() }
     }
 
-    /// Waits for the first message that `pick` takes. Digests come with their names.
+    /// Waits for the first message for which `pick` returns a value. Load messages are passed to
+    /// `pick` as decoded digests.
     pub(crate) async fn wait<T>(&mut self, pick: impl Fn(ControlMessage) -> Option<T>) -> T {
         loop {
             if let Some(found) = pick(self.next().await) {
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Waits until the entry has a share of the customer's limits, and returns the latest. Control
-    /// sends it once, perhaps before the entry's other answers.
+    /// Waits until the entry has a share of the customer's limits, and returns the latest one. A
+    /// share is sent once, possibly before the responses to the entry's requests.
     pub(crate) async fn share(&mut self, customer: &CustomerName) -> CustomerShare {
         loop {
             if let Some(share) = self.shares.get(customer) {
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Members in this process, each on a loopback address of its own, and their operator.
+//! Control members in this process, each on its own loopback address, and a client for the
+//! operators' API.
 
 #![allow(dead_code)] // Each test program uses its own part of this.
 
@@ -23,8 +24,8 @@
 /// The operator's token.
 pub(crate) const TOKEN: &str = "the operator's token";
 
-/// How long a condition may take to come true; far above what it takes.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+/// The timeout for conditions, far above the time they normally take.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The members of one test.
 pub(crate) struct Cluster {
@@ -41,8 +42,8 @@
         Self::prepare(tempfile::tempdir().expect("a temporary folder"), count, spares)
     }
 
-    /// Prepares members whose data lies below a folder.
-    pub(crate) fn below(folder: &str, count: usize) -> Self {
+    /// Prepares members whose data folders are inside `folder`.
+    pub(crate) fn new_in(folder: &str, count: usize) -> Self {
         Self::prepare(tempfile::tempdir_in(folder).expect("a temporary folder"), count, 0)
     }
 
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Ends one member without handing anything over.
+    /// Ends one member without a leadership transfer.
     pub(crate) async fn abort(&mut self, at: usize) {
         self.running[at].take().expect("it runs").abort().await;
     }
@@ -110,7 +111,7 @@
         self.running[at].take().expect("it runs").drain().await;
     }
 
-    /// Empties the data folder of a member that does not run.
+    /// Removes the data folder of a member that is not running.
     pub(crate) fn empty_folder(&self, at: usize) {
         std::fs::remove_dir_all(self.folder(at)).expect("the folder is removed");
     }
@@ -120,7 +121,7 @@
         self.settings[at].control.as_ref().expect("it has a part").data.clone()
     }
 
-    /// Sends an operator's call to one member.
+    /// Sends an API call to one member.
     pub(crate) async fn call(&self, at: usize, method: &str, path: &str, body: Value) -> Answer {
         let address = self.settings[at].members[at].http;
         call(address, method, path, &body, Some(TOKEN)).await
@@ -131,25 +132,25 @@
         self.call(at, "GET", "/v1/status", Value::Null).await.body
     }
 
-    /// Waits until the status of one member fulfils a condition.
+    /// Waits until the status of one member satisfies a condition.
     pub(crate) async fn wait_for(
         &self,
         at: usize,
         what: &str,
         test: impl Fn(&Value) -> bool,
     ) -> Value {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         loop {
             let status = self.status(at).await;
             if test(&status) {
                 return status;
             }
-            assert!(Instant::now() < end, "waited in vain for {what}: {status:#}");
+            assert!(Instant::now() < end, "timed out waiting for {what}: {status:#}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Waits until every running member among these voters knows them.
+    /// Waits until every running member among these voters lists them and knows a leader.
     pub(crate) async fn wait_for_voters(&self, vms: &[&str]) {
         let is_voter = |at: &usize| vms.contains(&self.settings[*at].vm.as_str());
         let running = (0..self.running.len()).filter(|at| self.running[*at].is_some());
@@ -160,14 +161,14 @@
 
     /// Returns the running member that leads.
     pub(crate) async fn leader(&self) -> usize {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         loop {
             for at in (0..self.running.len()).filter(|at| self.running[*at].is_some()) {
                 if self.status(at).await["role"] == "leader" {
                     return at;
                 }
             }
-            assert!(Instant::now() < end, "waited in vain for a leader");
+            assert!(Instant::now() < end, "timed out waiting for a leader");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -180,21 +181,22 @@
         self.wait_for_voters(voters).await;
     }
 
-    /// Changes the service to a document with this mark, until it is decided.
+    /// Changes the service to a document that contains `mark`. Repeats the call until the change is
+    /// decided.
     pub(crate) async fn change(&self, at: usize, id: &str, base: u64, mark: &str) -> Answer {
         let body = json!({"id": id, "base": base, "document": document(mark)});
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         loop {
             let answer = self.call(at, "POST", "/v1/changes", body.clone()).await;
             if answer.status != 503 {
                 return answer;
             }
-            assert!(Instant::now() < end, "waited in vain for a decision: {}", answer.body);
+            assert!(Instant::now() < end, "timed out waiting for a decision: {}", answer.body);
         }
     }
 }
 
-/// Returns the VMs of the voters that a status names, in order.
+/// Returns the VMs of the voters in a status, in order.
 pub(crate) fn voters(status: &Value) -> Vec<String> {
     let members = status["members"].as_array().cloned().unwrap_or_default();
     let voters = members.iter().filter(|it| it["kind"] == "voter");
@@ -204,14 +206,14 @@
     vms
 }
 
-/// Returns the node of a VM that a status names.
+/// Returns the node id of a VM in a status.
 pub(crate) fn node_of(status: &Value, vm: &str) -> Option<String> {
     let members = status["members"].as_array()?;
     let found = members.iter().find(|it| it["vm"] == vm)?;
     found["node"].as_str().map(str::to_owned)
 }
 
-/// A small valid document; `mark` tells it from others.
+/// Returns a small valid document; `mark` distinguishes it from others.
 pub(crate) fn document(mark: &str) -> Value {
     let base = json!({
         "sites": {"north": {"region": "south", "domain": "one"}},
@@ -226,14 +228,14 @@
     json!({"base": base, "overlays": {"north": "{}"}})
 }
 
-/// What a call was answered.
+/// The response to a call.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) body: Value,
 }
 
-/// Sends one call; an answer that does not come has status 503.
+/// Sends one API call. A missing response is returned with status 503.
 pub(crate) async fn call(
     address: SocketAddr,
     method: &str,
--- a/crates/control/tests/entries.rs
+++ b/crates/control/tests/entries.rs
@@ -1,9 +1,9 @@
-//! Shares of limits, and entries that are gone.
+//! The division of limits into shares, and the detection of lost entries.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use control::{EntrySeen, Owners, ShareTable};
+use control::{EntryMonitor, EntryStatus, ShareTable};
 use types::{
     Customer, CustomerLimits, CustomerName, Incarnation, Millis, Rate, SiteName, Term, Tokens,
     Version, VmName,
@@ -31,7 +31,7 @@
         name: &'static str,
         demand: &'static [u32],
         concurrency: u32,
-        /// The concurrency of each entry.
+        /// The concurrency assigned to each entry.
         expected: &'static [u32],
     }
     let cases = [
@@ -59,10 +59,10 @@
         let mut table = ShareTable::default();
         for (at, requests) in demand.iter().enumerate() {
             let entry = vm(&format!("e{at}"));
-            table.see(&entry, &site(), now);
+            table.mark_seen(&entry, &site(), now);
             table.report(&entry, &report(*requests));
         }
-        let shares = table.hand_out(now, |_| Some(&customers));
+        let shares = table.allocate(now, |_| Some(&customers));
         let given: Vec<u32> = shares.values().map(|it| it[0].concurrency.unwrap_or(0)).collect();
         assert_eq!(given, expected, "{name}");
         let rates: f64 = shares.values().map(|it| it[0].rate.map_or(0.0, |it| it.0)).sum();
@@ -73,22 +73,20 @@
 
 #[test]
 fn a_silent_entry_keeps_its_part_for_a_while() {
-    // Symptom: a customer gets more than its limit while an entry is cut off from control.
-    // Sequence: the entry's session breaks; it goes on with its last share; the leader hands its
-    // part to the others at once.
-    // Cause: an entry without a session was taken for one that serves nobody.
+    // An entry that is cut off from the control members keeps using its last share. If the leader
+    // assigned that share to the other entries at once, the customer would get more than its limit.
     let limits = CustomerLimits { rate: Some(Rate(10.0)), ..CustomerLimits::default() };
     let customer = Customer { limits, ..Customer::default() };
     let yard: CustomerName = "yard".parse().expect("a name");
     let customers: BTreeMap<CustomerName, Customer> = [(yard, customer)].into();
     let start = Instant::now();
     let mut table = ShareTable::default();
-    table.see(&vm("e1"), &site(), start);
-    table.see(&vm("e2"), &site(), start);
+    table.mark_seen(&vm("e1"), &site(), start);
+    table.mark_seen(&vm("e2"), &site(), start);
     let mut rate = |after: u64| {
         let now = start + Duration::from_secs(after);
-        table.see(&vm("e2"), &site(), now);
-        let shares = table.hand_out(now, |_| Some(&customers));
+        table.mark_seen(&vm("e2"), &site(), now);
+        let shares = table.allocate(now, |_| Some(&customers));
         shares[&vm("e2")][0].rate
     };
     assert_eq!(rate(9), Some(Rate(5.0)));
@@ -99,48 +97,54 @@
 fn an_entry_is_lost_only_after_a_whole_silence() {
     struct Case {
         name: &'static str,
-        /// Seconds after the start, the term, and whether the entry's session is heard of.
-        turns: &'static [(u64, u64, bool)],
+        /// Seconds after the start, the term, and whether the entry has a session.
+        rounds: &'static [(u64, u64, bool)],
         lost: bool,
     }
     let cases = [
-        Case { name: "heard", turns: &[(0, 1, true), (4, 1, true), (8, 1, true)], lost: false },
-        Case { name: "silent too short", turns: &[(0, 1, true), (4, 1, false)], lost: false },
-        Case { name: "silent", turns: &[(0, 1, true), (4, 1, false), (6, 1, false)], lost: true },
-        Case { name: "never heard", turns: &[(0, 1, false), (6, 1, false)], lost: true },
+        Case { name: "heard", rounds: &[(0, 1, true), (4, 1, true), (8, 1, true)], lost: false },
+        Case { name: "silent too short", rounds: &[(0, 1, true), (4, 1, false)], lost: false },
+        Case { name: "silent", rounds: &[(0, 1, true), (4, 1, false), (6, 1, false)], lost: true },
+        Case { name: "never heard", rounds: &[(0, 1, false), (6, 1, false)], lost: true },
         Case {
             name: "came back",
-            turns: &[(0, 1, true), (4, 1, false), (4, 1, true), (8, 1, false)],
+            rounds: &[(0, 1, true), (4, 1, false), (4, 1, true), (8, 1, false)],
             lost: false,
         },
         Case {
             name: "a new leader begins anew",
-            turns: &[(0, 1, true), (4, 1, false), (20, 2, false), (24, 2, false)],
+            rounds: &[(0, 1, true), (4, 1, false), (20, 2, false), (24, 2, false)],
             lost: false,
         },
     ];
-    let life = (vm("e1"), Incarnation(7));
-    let seen = EntrySeen {
-        vm: life.0.clone(),
+    let incarnation = (vm("e1"), Incarnation(7));
+    let seen = EntryStatus {
+        vm: incarnation.0.clone(),
         site: site(),
-        owner: life.1,
+        owner: incarnation.1,
         version: Version(1),
         age_ms: Some(0),
         draining: false,
         behind: None,
     };
-    // A session of another life of the same VM does not count.
-    let other = EntrySeen { owner: Incarnation(8), ..seen.clone() };
+    // A session of another incarnation on the same VM does not count.
+    let other = EntryStatus { owner: Incarnation(8), ..seen.clone() };
     let start = Instant::now();
-    for Case { name, turns, lost } in cases {
-        let mut owners = Owners::default();
+    for Case { name, rounds, lost } in cases {
+        let mut entry_monitor = EntryMonitor::default();
         let mut found = Vec::new();
-        for (after, term, is_heard) in turns {
+        for (after, term, has_session) in rounds {
             let now = start + Duration::from_secs(*after);
-            let entries = if *is_heard { vec![seen.clone()] } else { vec![other.clone()] };
-            let lives = [life.clone()];
-            found = owners.lost(Term(*term), now, &lives, &entries, Duration::from_secs(5));
+            let entries = if *has_session { vec![seen.clone()] } else { vec![other.clone()] };
+            let incarnations = [incarnation.clone()];
+            found = entry_monitor.lost(
+                Term(*term),
+                now,
+                &incarnations,
+                &entries,
+                Duration::from_secs(5),
+            );
         }
-        assert_eq!(found, if lost { vec![life.clone()] } else { Vec::new() }, "{name}");
+        assert_eq!(found, if lost { vec![incarnation.clone()] } else { Vec::new() }, "{name}");
     }
 }
--- a/crates/control/tests/follower_entries.rs
+++ b/crates/control/tests/follower_entries.rs
@@ -1,4 +1,4 @@
-//! An entry whose session is with a member that does not lead.
+//! An entry that has its session with a follower.
 
 mod common;
 
@@ -13,14 +13,14 @@
 const ID: &str = "6f1c1f6e-6f0f-4a63-8a6b-0d9d3b8a0001";
 const NEXT_ID: &str = "6f1c1f6e-6f0f-4a63-8a6b-0d9d3b8a0002";
 
-fn yard() -> CustomerName {
+fn customer() -> CustomerName {
     "yard".parse().expect("a name")
 }
 
 fn usage() -> UsageReport {
-    let used = CustomerUse { customer: yard(), requests: 4, concurrency: 2, tokens: Tokens(9) };
+    let used = CustomerUse { customer: customer(), requests: 4, concurrency: 2, tokens: Tokens(9) };
     let stage = StageUse {
-        customer: yard(),
+        customer: customer(),
         stage: "draft".parse().expect("a name"),
         pool: "engines".parse().expect("a name"),
         calls: 3,
@@ -31,7 +31,7 @@
     UsageReport { period: Millis(1_000), customers: vec![used], stages: vec![stage] }
 }
 
-async fn reported(cluster: &Cluster, at: usize) -> Value {
+async fn usage_rows(cluster: &Cluster, at: usize) -> Value {
     cluster.call(at, "GET", "/v1/report?from=0", Value::Null).await.body["rows"].clone()
 }
 
@@ -46,9 +46,9 @@
 
     let mut entry = Entry::open(&cluster, follower, "e1", 11).await;
     assert_eq!(entry.claim("k1", 1).await, ClaimAnswer::Granted);
-    // Symptom: a member stops answering operators, or shows an entry's age as next to nothing.
-    // Sequence: an entry that never asked for a confirmation follows another member.
-    // Cause: "never" was the largest age, and the time since the sighting was added to it.
+    // An entry that never requested a confirmation must be listed without an age. If "never" were
+    // stored as the largest age, adding the time since the status arrived would overflow: the
+    // member would stop responding to operators, or show an age close to zero.
     let is_listed = |it: &Value| it["entries"][0]["vm"] == "e1";
     let status = cluster.wait_for(third, "the entry", is_listed).await;
     assert_eq!(status["entries"][0]["age_ms"], Value::Null, "{status:#}");
@@ -57,9 +57,9 @@
     entry.sender.send(&confirm).await.expect("it is sent");
     entry.wait(|it| matches!(it, ControlMessage::Confirmed { ticket: 5, .. }).then_some(())).await;
 
-    // The leader hands out the customer's limit; this entry is the only one.
+    // The leader assigns the customer's whole limit to this entry, which is the only one.
     entry.sender.send(&EntryMessage::Usage(usage())).await.expect("it is sent");
-    assert_eq!(entry.share(&yard()).await.concurrency, Some(3));
+    assert_eq!(entry.share(&customer()).await.concurrency, Some(3));
 
     // The leader's digest counts the calls that the entry reported by datagram.
     let secret = Secret::new(cluster.settings[0].secret.as_bytes()).expect("long enough");
@@ -82,19 +82,20 @@
         }
     }
 
-    // Any member reports what any member was told, with its cost.
-    while reported(&cluster, third).await.as_array().is_none_or(Vec::is_empty) {
+    // Any member reports the usage that any other member received, with its cost.
+    while usage_rows(&cluster, third).await.as_array().is_none_or(Vec::is_empty) {
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
     let rows = json!([{
         "customer": "yard", "stage": "draft", "pool": "engines", "calls": 3,
         "busy_us": 2_000_000, "tokens": 9, "wasted_us": 500_000, "cost": 10.0,
     }]);
-    assert_eq!(reported(&cluster, third).await, rows);
+    assert_eq!(usage_rows(&cluster, third).await, rows);
     let status = cluster.status(third).await;
     assert_eq!(status["entries"][0]["version"], 1, "{status:#}");
 
-    // The next version comes as a change of the one before, and whole where that does not help.
+    // The next version arrives as an edit of the previous one, and in full if the entry asks for
+    // it.
     let answer = cluster.change(leader, NEXT_ID, 1, "second").await;
     assert_eq!(answer.status, 200, "{}", answer.body);
     let edited = |it| match it {
@@ -112,9 +113,9 @@
     assert_eq!(version, Version(2));
     assert!(text.base.contains("second"), "{}", text.base);
 
-    // A drained member keeps it for the next start.
+    // A drained member keeps the usage for its next start.
     drop(entry);
     cluster.drain(follower).await;
     cluster.start(follower).await;
-    assert_eq!(reported(&cluster, follower).await, rows);
+    assert_eq!(usage_rows(&cluster, follower).await, rows);
 }
--- a/crates/control/tests/plan.rs
+++ b/crates/control/tests/plan.rs
@@ -1,10 +1,10 @@
-//! The steps of a change of members, decided from facts alone.
+//! The selection of membership changes.
 
 use std::collections::BTreeSet;
 
 use consensus::Membership;
 use control::Address;
-use control::plan::{Candidate, Facts, Step, plan};
+use control::plan::{Candidate, PlanInput, Step, plan};
 use types::{LogIndex, NodeId, VmName};
 
 const COMMIT: LogIndex = LogIndex(100);
@@ -29,25 +29,26 @@
     Candidate { vm: vm(name), node: node(number) }
 }
 
-/// Voters `a` to `c` with nodes 1 to 3, all active and wanted; `s` is a spare.
-fn calm() -> Facts {
+/// Returns an input with voters `a` to `c` on nodes 1 to 3, all active and wanted, and the spare
+/// `s`.
+fn healthy() -> PlanInput {
     let voters = [("a", 1), ("b", 2), ("c", 3)];
     let membership = Membership {
         voters: voters.iter().map(|it| (node(it.1), Address::encode(&vm(it.0)))).collect(),
         ..Membership::default()
     };
-    Facts {
+    PlanInput {
         membership,
         commit: COMMIT,
         active: nodes(&[1, 2, 3]),
         candidates: voters.iter().map(|it| candidate(it.0, it.1)).collect(),
         wanted: vms(&["a", "b", "c"]),
         spares: vms(&["s"]),
-        ..Facts::default()
+        ..PlanInput::default()
     }
 }
 
-fn with_learner(mut facts: Facts, name: &str, number: u64, holds: LogIndex) -> Facts {
+fn with_learner(mut facts: PlanInput, name: &str, number: u64, holds: LogIndex) -> PlanInput {
     facts.membership.learners.insert(node(number), Address::encode(&vm(name)));
     facts.candidates.retain(|it| it.vm != vm(name));
     facts.candidates.push(candidate(name, number));
@@ -56,31 +57,31 @@
     facts
 }
 
-fn without(mut facts: Facts, number: u64) -> Facts {
+fn inactive(mut facts: PlanInput, number: u64) -> PlanInput {
     facts.active.remove(&node(number));
     facts.candidates.retain(|it| it.node != node(number));
     facts
 }
 
-fn lost(facts: Facts, number: u64) -> Facts {
-    let mut facts = without(facts, number);
+fn lost(facts: PlanInput, number: u64) -> PlanInput {
+    let mut facts = inactive(facts, number);
     facts.lost.insert(node(number));
     facts
 }
 
-fn with_candidate(mut facts: Facts, name: &str, number: u64) -> Facts {
+fn with_candidate(mut facts: PlanInput, name: &str, number: u64) -> PlanInput {
     facts.candidates.push(candidate(name, number));
     facts
 }
 
-fn removed(mut facts: Facts, name: &str) -> Facts {
+fn removed(mut facts: PlanInput, name: &str) -> PlanInput {
     facts.removed.insert(vm(name));
     facts.wanted.remove(&vm(name));
     facts
 }
 
-fn two_voters() -> Facts {
-    let mut facts = without(calm(), 3);
+fn two_voters() -> PlanInput {
+    let mut facts = inactive(healthy(), 3);
     facts.membership.voters.remove(&node(3));
     facts
 }
@@ -89,86 +90,86 @@
 fn takes_one_safe_step_at_a_time() {
     struct Case {
         name: &'static str,
-        facts: Facts,
+        facts: PlanInput,
         step: Option<Step>,
     }
     let behind = LogIndex(COMMIT.0 - 1);
-    let short = |mut facts: Facts| {
-        facts.is_short = true;
+    let lacking_voters = |mut facts: PlanInput| {
+        facts.lacks_voters = true;
         facts
     };
-    let stalled = |mut facts: Facts, number| {
+    let stalled = |mut facts: PlanInput, number| {
         facts.stalled.insert(node(number));
         facts
     };
-    let new_life = || with_candidate(without(calm(), 3), "c", 33);
+    let new_incarnation = || with_candidate(inactive(healthy(), 3), "c", 33);
     let cases = [
-        Case { name: "all is well", facts: calm(), step: None },
-        Case { name: "an idle spare waits", facts: with_candidate(calm(), "s", 9), step: None },
+        Case { name: "all is well", facts: healthy(), step: None },
+        Case { name: "an idle spare waits", facts: with_candidate(healthy(), "s", 9), step: None },
         Case {
             name: "a silent voter is waited for",
-            facts: with_candidate(without(calm(), 3), "s", 9),
+            facts: with_candidate(inactive(healthy(), 3), "s", 9),
             step: None,
         },
         Case {
-            name: "another life of a silent voter learns first",
-            facts: new_life(),
-            step: Some(Step::Learn(candidate("c", 33))),
+            name: "a new incarnation of a silent voter first becomes a learner",
+            facts: new_incarnation(),
+            step: Some(Step::AddLearner(candidate("c", 33))),
         },
         Case {
-            name: "another life of a voter that is heard is a second process",
-            facts: with_candidate(calm(), "c", 33),
+            name: "a new incarnation of an active voter is a second process",
+            facts: with_candidate(healthy(), "c", 33),
             step: None,
         },
         Case {
-            name: "the old life stays until the new one holds the log",
-            facts: with_learner(without(calm(), 3), "c", 33, behind),
+            name: "the old incarnation stays until the new one has stored the log",
+            facts: with_learner(inactive(healthy(), 3), "c", 33, behind),
             step: None,
         },
         Case {
-            name: "then the old life goes",
-            facts: with_learner(without(calm(), 3), "c", 33, COMMIT),
-            step: Some(Step::Remove(node(3))),
+            name: "then the old incarnation is removed",
+            facts: with_learner(inactive(healthy(), 3), "c", 33, COMMIT),
+            step: Some(Step::RemoveVoter(node(3))),
         },
         Case {
-            name: "and the new one votes",
+            name: "and the new one becomes a voter",
             facts: with_learner(two_voters(), "c", 33, COMMIT),
             step: Some(Step::Promote(node(33))),
         },
         Case {
             name: "no removal that leaves no quorum",
-            facts: with_learner(without(without(calm(), 3), 2), "c", 33, COMMIT),
+            facts: with_learner(inactive(inactive(healthy(), 3), 2), "c", 33, COMMIT),
             step: None,
         },
         Case {
-            name: "a learner replaced by yet another life is dropped",
-            facts: with_candidate(with_learner(without(calm(), 3), "c", 33, behind), "c", 34),
-            step: Some(Step::Drop(node(33))),
+            name: "a learner replaced by a third incarnation is removed",
+            facts: with_candidate(with_learner(inactive(healthy(), 3), "c", 33, behind), "c", 34),
+            step: Some(Step::RemoveLearner(node(33))),
         },
         Case {
-            name: "a stalled learner is dropped",
-            facts: stalled(with_learner(without(calm(), 3), "c", 33, behind), 33),
-            step: Some(Step::Drop(node(33))),
+            name: "a stalled learner is removed",
+            facts: stalled(with_learner(inactive(healthy(), 3), "c", 33, behind), 33),
+            step: Some(Step::RemoveLearner(node(33))),
         },
         Case {
-            name: "a spare learns for a voter that is lost for good",
-            facts: with_candidate(lost(calm(), 3), "s", 9),
-            step: Some(Step::Learn(candidate("s", 9))),
+            name: "a spare joins for a voter that is lost for good",
+            facts: with_candidate(lost(healthy(), 3), "s", 9),
+            step: Some(Step::AddLearner(candidate("s", 9))),
         },
         Case {
-            name: "the lost one goes once the spare holds the log",
-            facts: with_learner(lost(calm(), 3), "s", 9, COMMIT),
-            step: Some(Step::Remove(node(3))),
+            name: "the lost voter is removed once the spare has stored the log",
+            facts: with_learner(lost(healthy(), 3), "s", 9, COMMIT),
+            step: Some(Step::RemoveVoter(node(3))),
         },
         Case {
-            name: "a spare is dropped if the lost one came back",
-            facts: with_learner(calm(), "s", 9, COMMIT),
-            step: Some(Step::Drop(node(9))),
+            name: "a spare is removed if the lost voter came back",
+            facts: with_learner(healthy(), "s", 9, COMMIT),
+            step: Some(Step::RemoveLearner(node(9))),
         },
         Case {
             name: "a missing member joins before a spare",
             facts: with_candidate(with_candidate(two_voters(), "s", 9), "c", 33),
-            step: Some(Step::Learn(candidate("c", 33))),
+            step: Some(Step::AddLearner(candidate("c", 33))),
         },
         Case {
             name: "a spare waits for members that have yet to start",
@@ -176,14 +177,14 @@
             step: None,
         },
         Case {
-            name: "but not for long",
-            facts: short(with_candidate(two_voters(), "s", 9)),
-            step: Some(Step::Learn(candidate("s", 9))),
+            name: "a spare joins when members are missing for long",
+            facts: lacking_voters(with_candidate(two_voters(), "s", 9)),
+            step: Some(Step::AddLearner(candidate("s", 9))),
         },
         Case {
             name: "an operator's removal",
-            facts: removed(calm(), "b"),
-            step: Some(Step::Remove(node(2))),
+            facts: removed(healthy(), "b"),
+            step: Some(Step::RemoveVoter(node(2))),
         },
         Case {
             name: "a removed member does not join again",
@@ -192,7 +193,7 @@
         },
         Case {
             name: "no removal by an operator that leaves no quorum",
-            facts: removed(without(calm(), 3), "b"),
+            facts: removed(inactive(healthy(), 3), "b"),
             step: None,
         },
     ];
@@ -203,11 +204,11 @@
 
 #[test]
 fn every_step_differs_by_one_voter() {
-    let facts = with_learner(calm(), "c", 33, COMMIT);
+    let facts = with_learner(healthy(), "c", 33, COMMIT);
     let steps = [
-        Step::Learn(candidate("s", 9)),
-        Step::Drop(node(33)),
-        Step::Remove(node(3)),
+        Step::AddLearner(candidate("s", 9)),
+        Step::RemoveLearner(node(33)),
+        Step::RemoveVoter(node(3)),
         Step::Promote(node(33)),
     ];
     for step in steps {
--- a/crates/control/tests/shares.rs
+++ b/crates/control/tests/shares.rs
@@ -1,9 +1,9 @@
-//! Shares are named when they change, and only then.
+//! Shares are sent when they change, and only then.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use control::{ShareBoard, ShareTable, SharesByEntry};
+use control::{ShareStore, ShareTable, SharesByEntry};
 use types::{Customer, CustomerLimits, CustomerName, Millis, SiteName, Term, Tokens, VmName};
 use wire::session::{CustomerShare, CustomerUse, UsageReport};
 
@@ -17,22 +17,22 @@
     "north".parse().expect("a name")
 }
 
-fn yard() -> CustomerName {
+fn customer() -> CustomerName {
     "yard".parse().expect("a name")
 }
 
 fn customers(limit: u32) -> BTreeMap<CustomerName, Customer> {
     let limits = CustomerLimits { concurrency: Some(limit), ..CustomerLimits::default() };
-    [(yard(), Customer { limits, ..Customer::default() })].into()
+    [(customer(), Customer { limits, ..Customer::default() })].into()
 }
 
 fn report(concurrency: u32) -> UsageReport {
-    let used = CustomerUse { customer: yard(), requests: 0, concurrency, tokens: Tokens(0) };
+    let used = CustomerUse { customer: customer(), requests: 0, concurrency, tokens: Tokens(0) };
     UsageReport { period: Millis(1_000), customers: vec![used], stages: Vec::new() }
 }
 
 fn share(concurrency: Option<u32>) -> CustomerShare {
-    CustomerShare { customer: yard(), rate: None, concurrency, tokens: None }
+    CustomerShare { customer: customer(), rate: None, concurrency, tokens: None }
 }
 
 fn counts(shares: &SharesByEntry) -> Vec<(&str, Option<u32>)> {
@@ -43,7 +43,7 @@
 fn only_what_changed_is_handed_out() {
     struct Round {
         name: &'static str,
-        /// Demand of each entry; none of an entry that drains.
+        /// The demand at each entry; `None` for an entry that drains.
         demand: [Option<u32>; 3],
         limit: u32,
         expected: &'static [(&'static str, Option<u32>)],
@@ -100,64 +100,82 @@
         let now = start + Duration::from_secs(second);
         for (entry, demand) in ENTRIES.iter().zip(demand) {
             let Some(demand) = demand else {
-                table.forget(&vm(entry));
+                table.remove(&vm(entry));
                 continue;
             };
-            table.see(&vm(entry), &site(), now);
+            table.mark_seen(&vm(entry), &site(), now);
             table.report(&vm(entry), &report(demand));
         }
         let customers = if limit > 0 { customers(limit) } else { BTreeMap::new() };
-        let changed = table.hand_out(now, |_| Some(&customers));
+        let changed = table.allocate(now, |_| Some(&customers));
         assert_eq!(counts(&changed), expected, "{name}");
-        let sum: u32 = table.whole().values().flatten().filter_map(|it| it.concurrency).sum();
-        assert!(sum <= limit, "{name}: {sum} of {limit} are out");
+        let sum: u32 = table.all().values().flatten().filter_map(|it| it.concurrency).sum();
+        assert!(sum <= limit, "{name}: {sum} of {limit} are assigned");
     }
 }
 
 #[test]
-fn the_sum_stays_within_the_limit_while_demand_wanders() {
+fn the_sum_stays_within_the_limit_while_demand_changes() {
     let customers = customers(50);
     let mut table = ShareTable::default();
     let start = Instant::now();
     for second in 0_u32..200 {
         let now = start + Duration::from_secs(second.into());
         for (place, entry) in (0_u32..).zip(ENTRIES) {
-            table.see(&vm(entry), &site(), now);
+            table.mark_seen(&vm(entry), &site(), now);
             table.report(&vm(entry), &report((second * (7 + 4 * place) + 13 * place) % 60));
         }
-        table.hand_out(now, |_| Some(&customers));
-        let sum: u32 = table.whole().values().flatten().filter_map(|it| it.concurrency).sum();
+        table.allocate(now, |_| Some(&customers));
+        let sum: u32 = table.all().values().flatten().filter_map(|it| it.concurrency).sum();
         assert!(sum <= 50, "{sum} in round {second}");
     }
 }
 
 #[test]
 fn a_session_gets_all_once_and_then_what_changed() {
-    let board = ShareBoard::default();
+    let share_store = ShareStore::default();
     let all = || vec![(vm("e0"), vec![share(Some(5))]), (vm("e1"), vec![share(Some(4))])];
-    board.take(Term(2), true, all());
-    let mut sent = 0;
-    assert_eq!(board.since(&vm("e0"), &mut sent), [share(Some(5))]);
-    assert!(board.since(&vm("e0"), &mut sent).is_empty(), "nothing changed");
-    board.take(Term(2), false, vec![(vm("e1"), vec![share(Some(3))])]);
-    assert!(board.since(&vm("e0"), &mut sent).is_empty(), "only another entry's changed");
-    board.take(Term(2), false, vec![(vm("e0"), vec![share(Some(2))])]);
-    assert_eq!(board.since(&vm("e0"), &mut sent), [share(Some(2))], "a share that falls");
-    assert_eq!(board.since(&vm("e0"), &mut 0), [share(Some(2))], "an entry that reconnects");
-    board.take(Term(3), true, all());
-    assert_eq!(board.since(&vm("e0"), &mut sent), [share(Some(5))], "a new leader");
-    board.take(Term(4), true, Vec::new());
-    assert_eq!(board.since(&vm("e0"), &mut sent), [share(None)], "a limit gone meanwhile");
+    share_store.update(Term(2), true, all());
+    let mut last_sent = 0;
+    assert_eq!(share_store.changed_since(&vm("e0"), &mut last_sent), [share(Some(5))]);
+    assert!(share_store.changed_since(&vm("e0"), &mut last_sent).is_empty(), "nothing changed");
+    share_store.update(Term(2), false, vec![(vm("e1"), vec![share(Some(3))])]);
+    assert!(
+        share_store.changed_since(&vm("e0"), &mut last_sent).is_empty(),
+        "only another entry's changed"
+    );
+    share_store.update(Term(2), false, vec![(vm("e0"), vec![share(Some(2))])]);
+    assert_eq!(
+        share_store.changed_since(&vm("e0"), &mut last_sent),
+        [share(Some(2))],
+        "a share that falls"
+    );
+    assert_eq!(
+        share_store.changed_since(&vm("e0"), &mut 0),
+        [share(Some(2))],
+        "an entry that reconnects"
+    );
+    share_store.update(Term(3), true, all());
+    assert_eq!(
+        share_store.changed_since(&vm("e0"), &mut last_sent),
+        [share(Some(5))],
+        "a new leader"
+    );
+    share_store.update(Term(4), true, Vec::new());
+    assert_eq!(
+        share_store.changed_since(&vm("e0"), &mut last_sent),
+        [share(None)],
+        "a limit gone meanwhile"
+    );
 }
 
 #[test]
-fn a_leader_that_was_frozen_hands_out_nothing() {
-    // Symptom: an entry keeps a wrong share for good.
-    // Sequence: a leader freezes, another takes over and hands out; the first wakes up and sends
-    // a change; the second sees no reason to send its share again.
-    // Cause: shares of a lower term were taken.
-    let board = ShareBoard::default();
-    board.take(Term(3), true, vec![(vm("e0"), vec![share(Some(5))])]);
-    board.take(Term(2), false, vec![(vm("e0"), vec![share(Some(9))])]);
-    assert_eq!(board.since(&vm("e0"), &mut 0), [share(Some(5))]);
+fn shares_of_a_paused_former_leader_are_dropped() {
+    // A paused leader may resume after another member took over and send outdated shares. The new
+    // leader would not send its unchanged shares again, so the entry would keep the wrong share.
+    // Shares of a lower term must be dropped.
+    let share_store = ShareStore::default();
+    share_store.update(Term(3), true, vec![(vm("e0"), vec![share(Some(5))])]);
+    share_store.update(Term(2), false, vec![(vm("e0"), vec![share(Some(9))])]);
+    assert_eq!(share_store.changed_since(&vm("e0"), &mut 0), [share(Some(5))]);
 }
--- a/crates/control/tests/single.rs
+++ b/crates/control/tests/single.rs
@@ -1,9 +1,9 @@
-//! One member alone: the operators' calls and an entry's session.
+//! A cluster of one member: the operators' API and an entry's session.
 
 mod common;
 
 use common::entry::Entry;
-use common::{Cluster, PATIENCE, TOKEN, call, document};
+use common::{Cluster, TIMEOUT, TOKEN, call, document};
 use serde_json::{Value, json};
 use types::{ClaimAnswer, ClaimRequest, Outcome, StoredAnswer, Version};
 use wire::session::{ControlMessage, EntryMessage};
@@ -101,7 +101,7 @@
     cluster.init(&["c1"]).await;
     let mut entry = Entry::open(&cluster, 0, "e1", 11).await;
 
-    // A version is pushed as soon as it is in force, and confirmed only after that.
+    // A version is pushed as soon as it is in force, and confirmed only afterwards.
     let answer = cluster.change(0, ID, 0, "a").await;
     assert_eq!(answer.status, 200, "{}", answer.body);
     let confirm = EntryMessage::Confirm { ticket: 5, have: Version(0) };
@@ -138,23 +138,23 @@
     entry.wait(committed).await;
     assert_eq!(entry.claim("k1", 3).await, ClaimAnswer::Done(stored.clone()));
 
-    // Symptom: a resend waits for ever for a claim whose entry was restarted.
-    // Sequence: the entry claims, dies and comes back as another life; the resend claims.
-    // Cause: the claim of a life that the state does not know to be over counts as running.
+    // If an entry claims a key, dies and restarts as a new incarnation, a resend of the claim must
+    // not wait for the dead incarnation. The claim of an incarnation that the state does not know
+    // to be over would count as running for ever.
     assert_eq!(entry.claim("k2", 4).await, ClaimAnswer::Granted);
     drop(entry);
     let mut entry = Entry::open(&cluster, 0, "e1", 12).await;
     assert_eq!(entry.claim("k2", 5).await, ClaimAnswer::OwnerLost);
     assert_eq!(entry.claim("k1", 6).await, ClaimAnswer::Done(stored));
 
-    // Symptom: callers wait for ever for an entry that is gone for good.
-    // Sequence: the entry claims and dies; its VM does not come back; a resend comes elsewhere.
-    // Cause: no new life of that VM ever enters, so nobody says that the old one is over.
+    // If an entry claims a key and dies, and its VM does not come back, callers that resend through
+    // another entry must not wait for ever. No new incarnation registers, so the control members
+    // must declare the old one lost.
     assert_eq!(entry.claim("k3", 7).await, ClaimAnswer::Granted);
     let mut other = Entry::open(&cluster, 0, "e2", 13).await;
     assert_eq!(other.claim("k3", 1).await, ClaimAnswer::Running);
     drop(entry);
-    let end = std::time::Instant::now() + PATIENCE;
+    let end = std::time::Instant::now() + TIMEOUT;
     while other.claim("k3", 1).await != ClaimAnswer::OwnerLost {
         assert!(std::time::Instant::now() < end, "the claim still runs");
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
