--- a/crates/follower/examples/session.rs
+++ b/crates/follower/examples/session.rs
@@ -1,5 +1,5 @@
-//! Measures a session with control on loopback: what it costs at rest, and how old an entry's word
-//! becomes when the member that it follows goes silent.
+//! Measures a session with control members on loopback: its traffic when idle, and the greatest age
+//! of an entry's confirmation when the followed member goes silent.
 //!
 //! `cargo run --release -p mothplank-follower --example session`
 #![allow(clippy::print_stdout)]
@@ -20,7 +20,7 @@
 
 const SECRET: &[u8] = b"a secret of the measurement";
 
-const REST: Duration = Duration::from_secs(20);
+const IDLE_DURATION: Duration = Duration::from_secs(20);
 
 const TRIALS: usize = 10;
 
@@ -32,25 +32,25 @@
     let bytes = Arc::new(AtomicU64::new(0));
     let never = CancellationToken::new();
     let member = forward(member().await?, never, Arc::clone(&bytes)).await;
-    let follower = fresh(&[member]).await?;
+    let follower = confirmed_follower(&[member]).await?;
     let before = bytes.load(Ordering::Relaxed);
-    tokio::time::sleep(REST).await;
+    tokio::time::sleep(IDLE_DURATION).await;
     let moved = bytes.load(Ordering::Relaxed) - before;
-    let rate = moved as f64 / REST.as_secs_f64();
+    let rate = moved as f64 / IDLE_DURATION.as_secs_f64();
     println!("at rest: {rate:.0} B/s of payload, both directions of TCP together");
     drop(follower);
 
     let mut oldest = Vec::new();
     for _ in 0..TRIALS {
-        oldest.push(silence().await?);
+        oldest.push(max_age_after_silence().await?);
     }
     oldest.sort();
-    println!("oldest word while a member goes silent, {TRIALS} trials: {oldest:?}");
+    println!("greatest age while a member goes silent, {TRIALS} trials: {oldest:?}");
     Ok(())
 }
 
-/// Follows a member until its word is fresh.
-async fn fresh(control: &[SocketAddr]) -> StepResult<Arc<Follower>> {
+/// Starts a follower and waits for its first confirmation.
+async fn confirmed_follower(control: &[SocketAddr]) -> StepResult<Arc<Follower>> {
     let (follower, mut events) = Follower::spawn(FollowerConfig {
         vm: "entry".parse().unwrap_or_else(|_| unreachable!()),
         site: "north".parse().unwrap_or_else(|_| unreachable!()),
@@ -65,13 +65,13 @@
     Ok(follower)
 }
 
-/// Stops the path to the first of two members, and returns the greatest age until the word of the
-/// other one is there.
-async fn silence() -> StepResult<Duration> {
+/// Stops the connection to the first of two members. Returns the greatest age until the other
+/// member has confirmed.
+async fn max_age_after_silence() -> StepResult<Duration> {
     let stop = CancellationToken::new();
     let first = forward(member().await?, stop.clone(), Arc::default()).await;
     let second = member().await?;
-    let follower = fresh(&[first, second]).await?;
+    let follower = confirmed_follower(&[first, second]).await?;
     stop.cancel();
     let mut oldest = Duration::ZERO;
     while follower.view().member != Some(second) || follower.age(Instant::now()) >= Some(oldest) {
@@ -81,7 +81,7 @@
     Ok(oldest)
 }
 
-/// A member that always confirms.
+/// Starts a member that always confirms.
 async fn member() -> StepResult<SocketAddr> {
     let me =
         Hello { kind: Kind::Member, vm: "m".parse().unwrap_or_else(|_| unreachable!()), node: 1 };
@@ -109,8 +109,8 @@
     Ok(())
 }
 
-/// Forwards connections to `target` and counts their bytes until stopped; what is open then stays
-/// open and carries nothing.
+/// Forwards connections to `target` and counts their bytes until stopped. Open connections then
+/// stay open and carry nothing.
 async fn forward(target: SocketAddr, stop: CancellationToken, bytes: Arc<AtomicU64>) -> SocketAddr {
     let bound = TcpListener::bind("127.0.0.1:0").await;
     let socket = bound.unwrap_or_else(|e| panic!("bind: {e}"));
--- a/crates/follower/src/follower.rs
+++ b/crates/follower/src/follower.rs
@@ -15,30 +15,30 @@
 use wire::{Datagrams, Secret};
 
 use crate::SessionView;
-use crate::link::{Order, Shared};
-use crate::requests::{Answer, Claimed, Operation, Pending, Trace};
+use crate::requests::{Answer, Claimed, Operation, Pending, SendState};
 use crate::session;
+use crate::shared::{Command, Shared};
 
-/// How many events wait for the entry to take them.
-const EVENT_QUEUE: usize = 64;
+/// The maximum number of events that wait for the entry.
+const EVENT_QUEUE_LENGTH: usize = 64;
 
-/// How many orders wait for the session's task.
-const ORDER_QUEUE: usize = 1_024;
+/// The maximum number of commands that wait for the session's task.
+const COMMAND_QUEUE_LENGTH: usize = 1_024;
 
-/// Past which age of the last quorum's confirmation a claim is refused at once: there is no quorum, or it
-/// cannot be reached, and a caller is better told so than kept waiting.
-const QUORUM_AGE: Duration = Duration::from_secs(3);
+/// The age of the latest quorum confirmation beyond which a claim is rejected at once. No quorum
+/// exists or can be reached then, and the caller learns so without waiting.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(3);
 
-/// What the session needs to know.
+/// The configuration of a session.
 #[derive(Clone, Debug)]
 pub struct FollowerConfig {
     /// This VM.
     pub vm: VmName,
     /// This VM's site.
     pub site: SiteName,
-    /// The life of this process.
+    /// The incarnation of this process.
     pub owner: Incarnation,
-    /// The wire addresses of the control members, those of this site first.
+    /// The addresses of the control members, those of this site first.
     pub control: Vec<SocketAddr>,
     /// The cluster secret.
     pub secret: Vec<u8>,
@@ -51,25 +51,25 @@
     pub service: Service,
 }
 
-/// What the entry passes on to its router.
+/// An event for the entry's router.
 #[derive(Debug)]
 pub enum Event {
     /// A higher version is in force.
     Service(Arc<Snapshot>),
-    /// A load digest came.
+    /// A load digest arrived.
     Digest(Digest),
-    /// Shares of the customers' limits came.
+    /// Shares of the customers' limits arrived.
     Shares(Vec<CustomerShare>),
 }
 
-/// Why a claim operation has no answer.
+/// Reason why a claim operation has no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimError {
-    /// It certainly had and will have no effect.
+    /// The operation certainly had and will have no effect.
     Rejected(String),
-    /// It may have had, or may yet have, its effect.
+    /// The operation may have taken effect, or may still do so.
     Uncertain(String),
-    /// The key has ended, and stays so.
+    /// The key has ended and stays ended.
     Ended(ClaimAnswer),
 }
 
@@ -85,29 +85,29 @@
 
 impl std::error::Error for ClaimError {}
 
-/// A running session with control. It reconnects, and moves to another member, by itself. Dropping
-/// it ends the session; answers that are not stored yet are then lost.
+/// A running session with the control members. It reconnects, and moves to another member, by
+/// itself. Dropping it ends the session and loses the answers that are not stored yet.
 #[derive(Debug)]
 pub struct Follower {
     shared: Arc<Shared>,
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<Command>,
 }
 
 impl Follower {
-    /// Starts the session on the current tokio runtime; events come through the receiver.
+    /// Starts the session on the current tokio runtime. Events arrive through the receiver.
     ///
     /// # Errors
-    /// Where no socket can be opened.
+    /// Returns an error if the secret is not valid or no socket can be opened.
     pub fn spawn(config: FollowerConfig) -> StepResult<(Arc<Self>, mpsc::Receiver<Event>)> {
         let secret = Secret::new(&config.secret)?;
         let socket = open_socket(config.control.first().copied())?;
         let datagrams = Datagrams::from_socket(socket, &secret)?;
         let shared = Arc::new(Shared::new());
-        let (events, receiver) = mpsc::channel(EVENT_QUEUE);
-        let (orders, taken) = mpsc::channel(ORDER_QUEUE);
+        let (events, receiver) = mpsc::channel(EVENT_QUEUE_LENGTH);
+        let (commands, taken) = mpsc::channel(COMMAND_QUEUE_LENGTH);
         let task = session::Task::new(config, secret, Arc::clone(&shared), events);
         tokio::spawn(task.run(taken, datagrams));
-        Ok((Arc::new(Self { shared, orders }), receiver))
+        Ok((Arc::new(Self { shared, commands }), receiver))
     }
 
     /// Returns the service in force, or `None` before the first.
@@ -115,95 +115,104 @@
         self.shared.current.load_full()
     }
 
-    /// Returns how long ago, on this VM's clock, the question was asked whose quorum-confirmed
-    /// answer is the latest; `None` before the first. Only an answer that names the version in
-    /// force here counts: an entry that knows it is behind is not fresh.
+    /// Returns the time, on this VM's clock, since the request with the latest quorum confirmation
+    /// was sent; `None` before the first one. Only a confirmation of the version in force here
+    /// counts: an entry that knows it is behind is not fresh.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.shared.freshness.age(now)
     }
 
-    /// Tells whether control cannot have declared this entry lost between `since` and `now`: the
-    /// session was confirmed all the while, without a gap. A confirmation after a gap says nothing
-    /// of claims from before it.
+    /// Returns whether control members cannot have declared this entry lost between `since` and
+    /// `now`, because the session was confirmed without a gap. A confirmation after a gap proves
+    /// nothing about claims made before it.
     pub fn is_steady(&self, since: Instant, now: Instant) -> bool {
         self.shared.freshness.is_steady(since, now)
     }
 
-    /// Returns what can be seen of the session.
+    /// Returns the state of the session.
     pub fn view(&self) -> Arc<SessionView> {
         self.shared.view.load_full()
     }
 
-    /// Asks for a claim, answered by `by`. It is sent again, over new connections too, while there
-    /// is time.
+    /// Requests a claim, to be answered by `deadline`. The claim is sent again, also over new
+    /// connections, while there is time.
     ///
     /// # Errors
-    /// `Uncertain` where the answer is lost: the claim may then stand, or come to stand, in the
-    /// state. `Rejected` where it was certainly never taken, at once where no quorum was heard of
-    /// lately.
-    pub async fn claim(&self, request: ClaimRequest, by: Instant) -> Result<Claimed, ClaimError> {
-        if self.age(Instant::now()).is_none_or(|age| age > QUORUM_AGE) {
-            let why = format!("no quorum has answered for {QUORUM_AGE:?}");
+    /// Returns `Uncertain` if the answer was lost: the claim may exist in the state, or may come to
+    /// exist. Returns `Rejected` if the claim certainly never took effect; without a recent quorum
+    /// confirmation it does so at once.
+    pub async fn claim(
+        &self,
+        request: ClaimRequest,
+        deadline: Instant,
+    ) -> Result<Claimed, ClaimError> {
+        if self.age(Instant::now()).is_none_or(|age| age > MAX_CONFIRMATION_AGE) {
+            let why = format!("no quorum has answered for {MAX_CONFIRMATION_AGE:?}");
             return Err(ClaimError::Rejected(why));
         }
-        match self.request(Operation::Claim(request), by).await? {
+        match self.request(Operation::Claim(request), deadline).await? {
             Answer::Claim(claimed) => Ok(claimed),
-            // The member answered another question; whether the claim stands is not known.
+            // The member sent the answer to another kind of operation, so the state of the claim is
+            // unknown.
             answer => Err(ClaimError::Uncertain(format!("unexpected answer {answer:?}"))),
         }
     }
 
-    /// Stores the answer of a claim; goes on in the background past `by` until it is committed.
+    /// Stores the answer of a claim. The operation continues in the background past `deadline`
+    /// until it is committed.
     ///
     /// # Errors
-    /// `Uncertain` where it is not known to be committed by then; `Rejected` where too many answers
-    /// wait already and this one will not be stored.
+    /// Returns `Uncertain` if the answer is not known to be committed by the deadline, and
+    /// `Rejected` if too many answers already wait, so that this one will not be stored.
     pub async fn finish(
         &self,
         key: ClaimKey,
         proof: ClaimTicket,
         answer: StoredAnswer,
-        by: Instant,
+        deadline: Instant,
     ) -> Result<(), ClaimError> {
-        self.commit(Operation::Finish { key, proof, answer }, by).await
+        self.commit(Operation::Finish { key, proof, answer }, deadline).await
     }
 
-    /// Gives up a claim whose call was never sent; returns once that is committed.
+    /// Releases a claim whose call was never sent. Returns once the release is committed.
     ///
     /// # Errors
-    /// `Ended` where the key has ended, by whichever attempt; else where the release is not known to
-    /// be committed by then. The caller must not say `not-run`.
+    /// Returns `Ended` if the key has ended, through any attempt. Returns another error if the
+    /// release is not known to be committed by the deadline; the caller must not report `not-run`
+    /// then.
     pub async fn release(
         &self,
         key: ClaimKey,
         proof: ClaimTicket,
-        by: Instant,
+        deadline: Instant,
     ) -> Result<(), ClaimError> {
-        self.commit(Operation::Release { key, proof }, by).await
+        self.commit(Operation::Release { key, proof }, deadline).await
     }
 
-    /// Reports use; kept until the session takes it.
+    /// Reports usage, which is kept until the session sends it.
     pub fn usage(&self, report: UsageReport) {
-        if self.orders.try_send(Order::Usage(report)).is_err() {
-            log::warn!("use not reported: too many orders wait for the session");
+        if self.commands.try_send(Command::Usage(report)).is_err() {
+            log::warn!("dropped a usage report: too many commands wait for the session");
         }
     }
 
     /// Reports calls in flight by upstream.
     pub fn load(&self, in_flight: &[(UpstreamName, u32)]) {
-        // The next report replaces one for which there is no room.
-        let _ = self.orders.try_send(Order::Load(in_flight.to_vec()));
+        // If the queue is full, the next report replaces this one.
+        let _ = self.commands.try_send(Command::Load(in_flight.to_vec()));
     }
 
-    /// Tells control that this entry drains.
+    /// Tells the control members that this entry drains.
     pub fn draining(&self) {
-        if self.orders.try_send(Order::Drain).is_err() {
-            log::warn!("drain not told to control: too many orders wait for the session");
+        if self.commands.try_send(Command::Drain).is_err() {
+            log::warn!(
+                "the control members were not told that this entry drains: too many commands wait for the session"
+            );
         }
     }
 
-    async fn commit(&self, operation: Operation, by: Instant) -> Result<(), ClaimError> {
-        match self.request(operation, by).await? {
+    async fn commit(&self, operation: Operation, deadline: Instant) -> Result<(), ClaimError> {
+        match self.request(operation, deadline).await? {
             Answer::Committed => Ok(()),
             Answer::Claim(claimed) => Err(ClaimError::Ended(claimed.answer)),
             answer @ Answer::NoRoom => {
@@ -212,17 +221,17 @@
         }
     }
 
-    async fn request(&self, operation: Operation, by: Instant) -> Result<Answer, ClaimError> {
-        let background = operation.background();
-        let trace = Trace::default();
+    async fn request(&self, operation: Operation, deadline: Instant) -> Result<Answer, ClaimError> {
+        let is_background = operation.is_background();
+        let send_state = SendState::default();
         let (reply, answer) = oneshot::channel();
-        let order = Order::Request(Pending::new(operation, trace.clone(), reply));
-        match timeout_at(by.into(), self.orders.send(order)).await {
+        let command = Command::Request(Pending::new(operation, send_state.clone(), reply));
+        match timeout_at(deadline.into(), self.commands.send(command)).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) => return Err(ClaimError::Rejected("the session has ended".to_owned())),
             Err(_) => return Err(ClaimError::Rejected("the session is overloaded".to_owned())),
         }
-        let ended = match timeout_at(by.into(), answer).await {
+        let reason = match timeout_at(deadline.into(), answer).await {
             Ok(Ok(Answer::NoRoom)) => {
                 let why = "too many claim operations are under way";
                 return Err(ClaimError::Rejected(why.to_owned()));
@@ -231,21 +240,21 @@
             Ok(Err(_)) => "the session has ended",
             Err(_) => "no answer in time",
         };
-        // What goes on in the background is never given up, and so never certain.
-        if !background && trace.give_up() {
-            return Err(ClaimError::Rejected(format!("{ended}, and it certainly has no effect")));
+        // A background operation is never cancelled, so its result is never certain here.
+        if !is_background && send_state.cancel() {
+            return Err(ClaimError::Rejected(format!("{reason}, and it certainly has no effect")));
         }
-        Err(ClaimError::Uncertain(ended.to_owned()))
+        Err(ClaimError::Uncertain(reason.to_owned()))
     }
 }
 
-/// Opens the socket for datagrams on the address from which control is reached.
+/// Opens the datagram socket on the local address from which the control member is reached.
 ///
-/// A socket on the unspecified address takes its port on every address of the VM. The system may
-/// draw the very port that a control member on this VM is about to bind, and the member then does
-/// not start: "bind datagrams: Address already in use". On one address the two differ, except
-/// where control listens on that address itself; its settings should name a port that the system
-/// does not draw.
+/// A socket on the unspecified address occupies its port on every address of the VM. The operating
+/// system could choose the port that a control member on this VM is about to bind, and that member
+/// would fail to start with "bind datagrams: Address already in use". On a specific address the two
+/// differ, unless the control member listens on that same address; its settings should then name a
+/// port outside the system's ephemeral range.
 fn open_socket(control: Option<SocketAddr>) -> StepResult<UdpSocket> {
     let any: SocketAddr = match control {
         Some(SocketAddr::V6(_)) => (Ipv6Addr::UNSPECIFIED, 0).into(),
@@ -253,14 +262,14 @@
     };
     let fault = |e| StepError::new("bind datagrams", e).at(any);
     let socket = UdpSocket::bind(any).map_err(fault)?;
-    // Connecting a datagram socket sends nothing; it only asks for the route.
-    let routed = control.map(|to| socket.connect(to).and_then(|()| socket.local_addr()));
-    match routed {
+    // Connecting a datagram socket sends nothing; it only looks up the route.
+    let local_address = control.map(|to| socket.connect(to).and_then(|()| socket.local_addr()));
+    match local_address {
         Some(Ok(from)) => {
             drop(socket);
             UdpSocket::bind((from.ip(), 0)).map_err(fault)
         }
-        // Without a route yet, any address must do.
+        // Without a route, the unspecified address is used.
         Some(Err(_)) | None => UdpSocket::bind(any).map_err(fault),
     }
 }
--- a/crates/follower/src/freshness.rs
+++ b/crates/follower/src/freshness.rs
@@ -1,54 +1,62 @@
-//! When the latest answered question was asked.
+//! The time of the latest confirmed request.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// The time of the question whose quorum-confirmed answer is the latest, readable by all threads.
+/// The time at which the request with the latest quorum confirmation was sent. All threads can read
+/// it.
 ///
-/// What goes wrong without it: an answer that was long under way, or read late, counts as news. An
-/// entry then trusts an old version for longer than its bound. Counting from the question, on the
-/// one clock of this VM, errs only towards too old.
+/// The age counts from the request rather than from its answer. Otherwise an answer that was long
+/// in flight, or was read late, would count as new, and an entry would trust an outdated version
+/// for longer than its bound. Counting from the request, on the clock of this VM, can only
+/// overestimate the age.
 #[derive(Debug)]
 pub(crate) struct Freshness {
     start: Instant,
-    // Microseconds after `start`, plus one; 0 before the first answer.
-    asked: AtomicU64,
-    // The same for the question that ended the last gap longer than `HOLD`.
-    resumed: AtomicU64,
+    // Microseconds from `start` to the request, plus one; 0 before the first answer.
+    last_request: AtomicU64,
+    // The same for the request that ended the latest gap longer than `MAX_GAP`.
+    gap_ended: AtomicU64,
 }
 
-/// The longest time without a confirmed question in which an entry still counts as there. Half of
-/// the silence after which control declares an entry lost (5 s), for members tell each other of
-/// sessions only every 2 s.
-const HOLD: Duration = Duration::from_millis(2_500);
+/// The longest time without a confirmed request in which an entry still counts as connected. It is
+/// half of the silence after which control members declare an entry lost (5 s), because they
+/// exchange their lists of sessions only every 2 s.
+const MAX_GAP: Duration = Duration::from_millis(2_500);
 
 impl Freshness {
     pub(crate) fn new() -> Self {
-        Self { start: Instant::now(), asked: AtomicU64::new(0), resumed: AtomicU64::new(0) }
+        Self {
+            start: Instant::now(),
+            last_request: AtomicU64::new(0),
+            gap_ended: AtomicU64::new(0),
+        }
     }
 
-    /// Takes the time of an answered question; an earlier one than before changes nothing.
-    pub(crate) fn confirm(&self, asked: Instant) {
-        let micros = asked.saturating_duration_since(self.start).as_micros() as u64;
-        let last = self.asked.load(Ordering::Acquire);
-        // Before the new time: whoever sees that one sees the gap too.
-        if (micros + 1).saturating_sub(last) > HOLD.as_micros() as u64 {
-            self.resumed.fetch_max(micros + 1, Ordering::AcqRel);
+    /// Records the time of a confirmed request. An earlier time than the recorded one has no
+    /// effect.
+    pub(crate) fn confirm(&self, requested_at: Instant) {
+        let micros = requested_at.saturating_duration_since(self.start).as_micros() as u64;
+        let last = self.last_request.load(Ordering::Acquire);
+        // The gap is recorded before the new time, so that a thread that sees the new time also
+        // sees the gap.
+        if (micros + 1).saturating_sub(last) > MAX_GAP.as_micros() as u64 {
+            self.gap_ended.fetch_max(micros + 1, Ordering::AcqRel);
         }
-        self.asked.fetch_max(micros + 1, Ordering::AcqRel);
+        self.last_request.fetch_max(micros + 1, Ordering::AcqRel);
     }
 
-    /// Tells whether no gap longer than [`HOLD`] lies between `since` and `now`.
+    /// Returns whether there is no gap longer than [`MAX_GAP`] between `since` and `now`.
     pub(crate) fn is_steady(&self, since: Instant, now: Instant) -> bool {
-        if self.age(now).is_none_or(|age| age > HOLD) {
+        if self.age(now).is_none_or(|age| age > MAX_GAP) {
             return false;
         }
         let since = since.saturating_duration_since(self.start).as_micros() as u64;
-        self.resumed.load(Ordering::Acquire) <= since + 1
+        self.gap_ended.load(Ordering::Acquire) <= since + 1
     }
 
     pub(crate) fn age(&self, now: Instant) -> Option<Duration> {
-        let micros = self.asked.load(Ordering::Acquire).checked_sub(1)?;
+        let micros = self.last_request.load(Ordering::Acquire).checked_sub(1)?;
         Some(now.saturating_duration_since(self.start + Duration::from_micros(micros)))
     }
 }
--- a/crates/follower/src/lib.rs
+++ b/crates/follower/src/lib.rs
@@ -1,26 +1,27 @@
-//! An entry's session with control: the service in force, freshness, claims, load digest.
+//! An entry's session with the control members: the service in force, its freshness, claims and
+//! load digests.
 //!
-//! One task holds one connection to one control member at a time. The handle talks to it over a
-//! channel; the service in force and its freshness are read without it.
+//! One task holds one connection to one control member at a time. The handle sends it commands over
+//! a channel; the service in force and its freshness are read without the task.
 
-mod choice;
+mod confirm_requests;
+mod confirm_timer;
+mod digest_filter;
 mod follower;
 mod freshness;
-mod gate;
-mod install;
-mod link;
+mod member_selector;
 mod outbox;
-mod patience;
-mod questions;
 mod report;
 mod requests;
 mod session;
+mod shared;
+mod versions;
 
-pub use choice::Choice;
+pub use confirm_timer::{CONFIRM_TIMEOUT, ConfirmTimer, PROGRESS_BYTES};
+pub use digest_filter::DigestFilter;
 pub use follower::{ClaimError, Event, Follower, FollowerConfig, Snapshot};
-pub use gate::DigestGate;
-pub use install::{Offer, Versions};
-pub use link::SessionView;
-pub use patience::{CONFIRM_PATIENCE, Patience, UNDER_WAY};
-pub use report::{LoadDelta, merge_usage};
+pub use member_selector::MemberSelector;
+pub use report::{LoadReporter, merge_usage};
 pub use requests::Claimed;
+pub use shared::SessionView;
+pub use versions::{Offer, Versions};
--- a/crates/follower/src/report.rs
+++ b/crates/follower/src/report.rs
@@ -1,4 +1,4 @@
-//! What an entry reports: calls in flight, and use.
+//! The entry's reports: calls in flight and usage.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,57 +6,58 @@
 use types::{Incarnation, Millis, Tokens, UpstreamName, VmName};
 use wire::session::{CustomerUse, LoadReport, StageUse, UsageReport};
 
-/// How often a report names every upstream.
-const FULL_PERIOD: Duration = Duration::from_secs(2);
+/// How often a full report is sent.
+const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Makes load reports that name what changed since the last full one.
+/// Creates load reports that contain the changes since the last full report.
 ///
-/// Each is complete in itself together with that full one, so that a lost datagram does no harm.
+/// Each report is complete in combination with that full report, so a lost datagram does no harm.
 #[derive(Debug)]
-pub struct LoadDelta {
+pub struct LoadReporter {
     vm: VmName,
     owner: Incarnation,
     sequence: u64,
-    base: BTreeMap<UpstreamName, u32>,
+    last_full: BTreeMap<UpstreamName, u32>,
     full_at: Option<Instant>,
 }
 
-impl LoadDelta {
-    /// Starts with a full report.
+impl LoadReporter {
+    /// Creates a reporter whose first report is a full one.
     pub fn new(vm: VmName, owner: Incarnation) -> Self {
-        Self { vm, owner, sequence: 0, base: BTreeMap::new(), full_at: None }
+        Self { vm, owner, sequence: 0, last_full: BTreeMap::new(), full_at: None }
     }
 
-    /// Makes the next report a full one: another member gets it.
+    /// Makes the next report a full one, because another member receives it.
     pub fn reset(&mut self) {
         self.full_at = None;
     }
 
-    /// Makes the next report.
+    /// Creates the next report.
     pub fn report(&mut self, in_flight: &[(UpstreamName, u32)], now: Instant) -> LoadReport {
         self.sequence += 1;
-        let due = self.full_at.is_none_or(|at| now.saturating_duration_since(at) >= FULL_PERIOD);
-        let in_flight = if due { self.full(in_flight, now) } else { self.delta(in_flight) };
+        let is_full =
+            self.full_at.is_none_or(|at| now.saturating_duration_since(at) >= FULL_REPORT_INTERVAL);
+        let in_flight = if is_full { self.full(in_flight, now) } else { self.delta(in_flight) };
         let (vm, owner, sequence) = (self.vm.clone(), self.owner, self.sequence);
-        LoadReport { vm, owner, sequence, in_flight, full: due }
+        LoadReport { vm, owner, sequence, in_flight, full: is_full }
     }
 
     fn full(&mut self, all: &[(UpstreamName, u32)], now: Instant) -> Vec<(UpstreamName, u32)> {
         let busy: Vec<_> = all.iter().filter(|(_, calls)| *calls > 0).cloned().collect();
-        self.base = busy.iter().cloned().collect();
+        self.last_full = busy.iter().cloned().collect();
         self.full_at = Some(now);
         busy
     }
 
     fn delta(&self, all: &[(UpstreamName, u32)]) -> Vec<(UpstreamName, u32)> {
-        let base = |name: &UpstreamName| self.base.get(name).copied().unwrap_or(0);
-        let changed = all.iter().filter(|(name, calls)| *calls != base(name)).cloned();
-        let idle = self.base.keys().filter(|name| !all.iter().any(|(it, _)| it == *name));
+        let last_full = |name: &UpstreamName| self.last_full.get(name).copied().unwrap_or(0);
+        let changed = all.iter().filter(|(name, calls)| *calls != last_full(name)).cloned();
+        let idle = self.last_full.keys().filter(|name| !all.iter().any(|(it, _)| it == *name));
         changed.chain(idle.map(|name| (name.clone(), 0))).collect()
     }
 }
 
-/// Adds `more` to `sum`, so that use that waits for a session takes no more room with time.
+/// Adds `more` to `sum`, so that usage that waits for a session does not grow in size over time.
 pub fn merge_usage(sum: &mut UsageReport, more: UsageReport) {
     sum.period = Millis(sum.period.0 + more.period.0);
     for one in more.customers {
--- a/crates/follower/src/requests.rs
+++ b/crates/follower/src/requests.rs
@@ -1,4 +1,4 @@
-//! Claim operations under way: numbered, sent again while their time allows.
+//! Claim operations in flight, which are numbered and sent again until their deadline.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,53 +9,53 @@
 use types::{ClaimAnswer, ClaimKey, ClaimRequest, ClaimTicket, StoredAnswer};
 use wire::session::{EntryMessage, Ticket};
 
-/// After how long a rejected or uncertain operation is sent again; doubles each time, so that what
-/// waits for a new leader does not keep the members busy.
-const RETRY: Duration = Duration::from_millis(50);
+/// The delay before a rejected or uncertain operation is sent again. It doubles with each retry, so
+/// that operations waiting for a new leader do not keep the members busy.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How often that time doubles at most.
-const RETRY_DOUBLINGS: u32 = 3;
+/// The maximum number of times that the delay doubles.
+const MAX_RETRY_DOUBLINGS: u32 = 3;
 
-/// After how long without an answer an operation in the background is sent again.
-const RESEND: Duration = Duration::from_secs(5);
+/// The time without an answer after which a background operation is sent again.
+const RESEND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How many operations may be under way.
-const LIMIT: usize = 4_096;
+/// The maximum number of operations in flight.
+const MAX_OPERATIONS: usize = 4_096;
 
-/// How many bytes of answers may wait to be stored.
-const BYTES_LIMIT: usize = 8 << 20;
+/// The maximum total size of answers that wait to be stored, in bytes.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-const CLEAN: u8 = 0;
+const UNSENT: u8 = 0;
 const SENT: u8 = 1;
-const GIVEN_UP: u8 = 2;
+const CANCELLED: u8 = 2;
 
-/// Whether an operation can have had an effect; shared with the caller that waits for it.
+/// Records whether an operation may have taken effect; shared with the caller that waits for it.
 ///
-/// The caller's time may run out at the very moment the session sends the operation. Exactly one
-/// of the two gets its way: either it is sent, and the caller says that it is uncertain, or it is
-/// given up, and never sent.
+/// The caller's deadline may pass at the moment in which the session sends the operation. The
+/// atomic state lets exactly one of them succeed: either the operation is sent and the caller
+/// reports it as uncertain, or it is cancelled and never sent.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Trace(Arc<AtomicU8>);
+pub(crate) struct SendState(Arc<AtomicU8>);
 
-impl Trace {
-    /// The caller gives up. Returns whether the operation certainly has no effect.
-    pub(crate) fn give_up(&self) -> bool {
-        self.0.compare_exchange(CLEAN, GIVEN_UP, Ordering::AcqRel, Ordering::Acquire).is_ok()
+impl SendState {
+    /// Cancels the operation for the caller. Returns whether it certainly has no effect.
+    pub(crate) fn cancel(&self) -> bool {
+        self.0.compare_exchange(UNSENT, CANCELLED, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
-    /// The session is about to send. Returns whether it may.
-    fn send(&self) -> bool {
-        let sent = self.0.compare_exchange(CLEAN, SENT, Ordering::AcqRel, Ordering::Acquire);
+    /// Marks the operation as sent. Returns `false` if it was cancelled and must not be sent.
+    fn begin_send(&self) -> bool {
+        let sent = self.0.compare_exchange(UNSENT, SENT, Ordering::AcqRel, Ordering::Acquire);
         sent.is_ok() || sent == Err(SENT)
     }
 
-    /// All that was sent certainly had no effect.
-    fn clean(&self) {
-        let _ = self.0.compare_exchange(SENT, CLEAN, Ordering::AcqRel, Ordering::Acquire);
+    /// Marks the operation as unsent, after every attempt so far was certainly without effect.
+    fn reset(&self) {
+        let _ = self.0.compare_exchange(SENT, UNSENT, Ordering::AcqRel, Ordering::Acquire);
     }
 }
 
-/// An operation.
+/// A claim operation.
 #[derive(Clone, Debug)]
 pub(crate) enum Operation {
     Claim(ClaimRequest),
@@ -74,13 +74,13 @@
         }
     }
 
-    /// Whether it goes on after its caller stopped waiting: an answer that is not stored leaves
-    /// every resend of the request without it.
-    pub(crate) fn background(&self) -> bool {
+    /// Returns whether the operation continues after its caller stopped waiting. If an answer were
+    /// not stored, every resend of the request would miss it.
+    pub(crate) fn is_background(&self) -> bool {
         matches!(self, Operation::Finish { .. })
     }
 
-    fn bytes(&self) -> usize {
+    fn answer_bytes(&self) -> usize {
         match self {
             Operation::Finish { answer, .. } => answer.body.as_ref().map_or(0, Vec::len),
             _ => 0,
@@ -88,76 +88,82 @@
     }
 }
 
-/// The answer to a claim, and what may still come of its other sendings.
+/// The answer to a claim, and whether another attempt may still change it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claimed {
     /// The answer.
     pub answer: ClaimAnswer,
-    /// Whether an earlier sending was never answered and may yet reach the state. Where the answer is
-    /// no grant, that one may be granted later.
+    /// Whether an earlier attempt was never answered and may still reach the state. If the answer
+    /// is not a grant, that attempt may be granted later.
     pub doubt: bool,
 }
 
 impl Claimed {
-    /// Takes an answer to the only sending.
+    /// Creates the result of a claim that was sent only once.
     pub fn sure(answer: ClaimAnswer) -> Self {
         Self { answer, doubt: false }
     }
 }
 
-/// What came of an operation.
+/// The result of an operation.
 #[derive(Debug)]
 pub(crate) enum Answer {
     /// The answer to a claim.
     Claim(Claimed),
-    /// It is committed.
+    /// The operation is committed.
     Committed,
-    /// There is no room for it; it was not sent.
+    /// The queue is full; the operation was not sent.
     NoRoom,
 }
 
-/// An operation and who waits for it.
+/// An operation and the caller that waits for it.
 #[derive(Debug)]
 pub(crate) struct Pending {
     pub(crate) operation: Operation,
-    pub(crate) trace: Trace,
+    pub(crate) send_state: SendState,
     pub(crate) reply: oneshot::Sender<Answer>,
-    // An earlier sending was never answered, or with uncertain: it may yet have its effect.
-    doubt: bool,
-    tries: u32,
+    // Whether an earlier attempt got no answer, or an uncertain one, and may still take effect.
+    open_attempt: bool,
+    retries: u32,
 }
 
 impl Pending {
-    pub(crate) fn new(operation: Operation, trace: Trace, reply: oneshot::Sender<Answer>) -> Self {
-        Self { operation, trace, reply, doubt: false, tries: 0 }
+    pub(crate) fn new(
+        operation: Operation,
+        send_state: SendState,
+        reply: oneshot::Sender<Answer>,
+    ) -> Self {
+        Self { operation, send_state, reply, open_attempt: false, retries: 0 }
     }
 
-    fn wanted(&self) -> bool {
-        self.operation.background() || !self.reply.is_closed()
+    fn is_wanted(&self) -> bool {
+        self.operation.is_background() || !self.reply.is_closed()
     }
 }
 
-/// All operations under way.
+/// All operations in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Requests {
     waiting: Vec<(Instant, Pending)>,
     sent: BTreeMap<Ticket, (Instant, Pending)>,
-    bytes: usize,
+    answer_bytes: usize,
 }
 
 impl Requests {
-    /// Takes a new operation, to be sent at once.
+    /// Adds a new operation, which is to be sent at once.
     pub(crate) fn add(&mut self, pending: Pending, now: Instant) {
-        let bytes = self.bytes + pending.operation.bytes();
-        if self.waiting.len() + self.sent.len() >= LIMIT || bytes > BYTES_LIMIT {
+        let answer_bytes = self.answer_bytes + pending.operation.answer_bytes();
+        if self.waiting.len() + self.sent.len() >= MAX_OPERATIONS || answer_bytes > MAX_ANSWER_BYTES
+        {
             let _ = pending.reply.send(Answer::NoRoom);
             return;
         }
-        self.bytes = bytes;
+        self.answer_bytes = answer_bytes;
         self.waiting.push((now, pending));
     }
 
-    /// Sends what is due by `send`, which numbers a message and returns whether it was taken.
+    /// Sends the operations that are due with `send`, which returns whether the message was
+    /// accepted.
     pub(crate) fn send_due(
         &mut self,
         now: Instant,
@@ -167,88 +173,91 @@
         let due = self.waiting.extract_if(.., |(at, _)| *at <= now);
         let due: Vec<Pending> = due.map(|(_, pending)| pending).collect();
         for pending in due {
-            if !pending.wanted() || !pending.trace.send() {
-                self.forget(&pending);
+            if !pending.is_wanted() || !pending.send_state.begin_send() {
+                self.release_bytes(&pending);
                 continue;
             }
             *ticket += 1;
             if send(&pending.operation.message(*ticket)) {
                 self.sent.insert(*ticket, (now, pending));
             } else {
-                self.again(pending, now);
+                self.schedule_retry(pending, now);
             }
         }
     }
 
-    /// Returns when the next operation is due.
+    /// Returns the time at which the next operation is due.
     pub(crate) fn next_due(&self) -> Option<Instant> {
         self.waiting.iter().map(|(at, _)| *at).min()
     }
 
-    /// Takes the answer of an operation; one that nobody waits for is dropped.
+    /// Delivers the answer of an operation. An answer without a waiting caller is dropped.
     pub(crate) fn answered(&mut self, ticket: Ticket, mut answer: Answer) {
         if let Some((_, pending)) = self.sent.remove(&ticket) {
-            self.forget(&pending);
+            self.release_bytes(&pending);
             if let Answer::Claim(claimed) = &mut answer {
-                claimed.doubt = pending.doubt;
+                claimed.doubt = pending.open_attempt;
             }
             let _ = pending.reply.send(answer);
         }
     }
 
-    /// The member says that this sending had and will have no effect.
+    /// Handles a rejection: this attempt had and will have no effect.
     pub(crate) fn rejected(&mut self, ticket: Ticket, now: Instant) {
         if let Some((_, pending)) = self.sent.remove(&ticket) {
-            self.again(pending, now);
+            self.schedule_retry(pending, now);
         }
     }
 
-    /// The member does not know whether it has an effect.
+    /// Handles an uncertain result: the member does not know whether the attempt takes effect.
     pub(crate) fn uncertain(&mut self, ticket: Ticket, now: Instant) {
         if let Some((_, mut pending)) = self.sent.remove(&ticket) {
-            pending.doubt = true;
-            self.again(pending, now);
+            pending.open_attempt = true;
+            self.schedule_retry(pending, now);
         }
     }
 
-    /// The connection is lost: whatever was sent and not answered may have its effect, and is sent
-    /// again over the next. The state answers the same ticket the same way.
-    pub(crate) fn lost(&mut self, now: Instant) {
+    /// Handles a lost connection. Operations that were sent and not answered may still take effect;
+    /// they are sent again over the next connection. The state answers the same ticket in the same
+    /// way.
+    pub(crate) fn connection_lost(&mut self, now: Instant) {
         for (_, (_, mut pending)) in std::mem::take(&mut self.sent) {
-            pending.doubt = true;
+            pending.open_attempt = true;
             self.waiting.push((now, pending));
         }
     }
 
-    /// Drops what nobody waits for any more, and sends again what got no answer for long.
+    /// Removes operations without a waiting caller, and sends background operations again that got
+    /// no answer for [`RESEND_TIMEOUT`].
     pub(crate) fn sweep(&mut self, now: Instant) {
-        let unwanted = |pending: &Pending| !pending.wanted();
-        let gone: Vec<Pending> = self
+        let unwanted = |pending: &Pending| !pending.is_wanted();
+        let unwanted_operations: Vec<Pending> = self
             .waiting
             .extract_if(.., |(_, pending)| unwanted(pending))
             .map(|(_, pending)| pending)
             .chain(self.sent.extract_if(.., |_, it| unwanted(&it.1)).map(|(_, (_, it))| it))
             .collect();
-        gone.iter().for_each(|pending| self.forget(pending));
+        unwanted_operations.iter().for_each(|pending| self.release_bytes(pending));
         let late = self.sent.extract_if(.., |_, (at, pending)| {
-            pending.operation.background() && now.saturating_duration_since(*at) >= RESEND
+            pending.operation.is_background()
+                && now.saturating_duration_since(*at) >= RESEND_TIMEOUT
         });
         for (_, (_, mut pending)) in late.collect::<Vec<_>>() {
-            pending.doubt = true;
+            pending.open_attempt = true;
             self.waiting.push((now, pending));
         }
     }
 
-    fn again(&mut self, mut pending: Pending, now: Instant) {
-        if !pending.doubt {
-            pending.trace.clean();
+    fn schedule_retry(&mut self, mut pending: Pending, now: Instant) {
+        if !pending.open_attempt {
+            pending.send_state.reset();
         }
-        let pause = RETRY * 2_u32.pow(pending.tries.min(RETRY_DOUBLINGS));
-        pending.tries += 1;
-        self.waiting.push((now + pause, pending));
+        let delay = INITIAL_RETRY_DELAY * 2_u32.pow(pending.retries.min(MAX_RETRY_DOUBLINGS));
+        pending.retries += 1;
+        self.waiting.push((now + delay, pending));
     }
 
-    fn forget(&mut self, pending: &Pending) {
-        self.bytes -= pending.operation.bytes();
+    fn release_bytes(&mut self, pending: &Pending) {
+        self.answer_bytes -= pending.operation.answer_bytes();
     }
 }
--- a/crates/follower/src/session.rs
+++ b/crates/follower/src/session.rs
@@ -13,54 +13,54 @@
 use wire::session::{ControlMessage, EntryMessage, Ticket, UsageReport};
 use wire::{Connection, Datagrams, Hello, Kind, Quiet, Secret, Sender};
 
-use crate::link::{Order, Shared};
+use crate::confirm_requests::ConfirmRequests;
 use crate::outbox::Outbox;
-use crate::questions::Questions;
 use crate::requests::{Answer, Claimed, Requests};
+use crate::shared::{Command, Shared};
 use crate::{
-    CONFIRM_PATIENCE, Choice, DigestGate, Event, FollowerConfig, LoadDelta, Patience, Snapshot,
-    Versions, merge_usage,
+    CONFIRM_TIMEOUT, ConfirmTimer, DigestFilter, Event, FollowerConfig, LoadReporter,
+    MemberSelector, Snapshot, Versions, merge_usage,
 };
 
-/// How often a quorum is asked for the version in force.
-const CONFIRM_PERIOD: Duration = Duration::from_millis(1_000);
+/// How often the entry requests a confirmation of the version in force.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How often failures to connect are logged at most.
-const FAULT_PERIOD: Duration = Duration::from_secs(5);
+/// The minimum interval between log lines about failed sessions.
+const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why a session ended.
-enum End {
+enum SessionEnd {
     /// The handle was dropped.
     Dropped,
     /// The member drains.
-    Left,
-    /// The connection ended, or the member is of no use.
+    Drained,
+    /// The connection ended, or the member does not confirm a quorum.
     Failed(StepError),
 }
 
-type Out = Sender<EntryMessage>;
+type EntrySender = Sender<EntryMessage>;
 
-/// The task's state. It outlives each single session.
+/// The state of the task, which outlives the individual sessions.
 pub(crate) struct Task {
     config: FollowerConfig,
     secret: Secret,
     shared: Arc<Shared>,
     outbox: Outbox,
-    choice: Choice,
+    member_selector: MemberSelector,
     versions: Versions,
     requests: Requests,
     ticket: Ticket,
-    questions: Questions,
-    held: Option<Arc<Snapshot>>,
-    kept_out: Option<(Version, String)>,
-    /// The document that this session sent last, which its edits change.
+    confirm_requests: ConfirmRequests,
+    held_snapshot: Option<Arc<Snapshot>>,
+    rejected_version: Option<(Version, String)>,
+    /// The document that this session sent last, to which edits apply.
     document: Option<(Version, Document)>,
     usage: UsageReport,
     draining: bool,
-    load: LoadDelta,
-    gate: DigestGate,
-    names: LoadNames,
-    faults: Quiet,
+    load_reporter: LoadReporter,
+    digest_filter: DigestFilter,
+    load_names: LoadNames,
+    failure_log: Quiet,
 }
 
 impl Task {
@@ -71,8 +71,8 @@
         events: mpsc::Sender<Event>,
     ) -> Self {
         Self {
-            choice: Choice::new(&config.control),
-            load: LoadDelta::new(config.vm.clone(), config.owner),
+            member_selector: MemberSelector::new(&config.control),
+            load_reporter: LoadReporter::new(config.vm.clone(), config.owner),
             config,
             secret,
             shared,
@@ -80,43 +80,44 @@
             versions: Versions::default(),
             requests: Requests::default(),
             ticket: 0,
-            questions: Questions::default(),
-            held: None,
-            kept_out: None,
+            confirm_requests: ConfirmRequests::default(),
+            held_snapshot: None,
+            rejected_version: None,
             document: None,
             usage: UsageReport::default(),
             draining: false,
-            gate: DigestGate::default(),
-            names: LoadNames::default(),
-            faults: Quiet::new(FAULT_PERIOD),
+            digest_filter: DigestFilter::default(),
+            load_names: LoadNames::default(),
+            failure_log: Quiet::new(FAILURE_LOG_INTERVAL),
         }
     }
 
-    /// Follows one member after the other until the handle is dropped.
-    pub(crate) async fn run(mut self, mut orders: mpsc::Receiver<Order>, datagrams: Datagrams) {
-        while let Some((member, wait)) = self.choice.next(Instant::now()) {
-            let Some(connected) = self.connect(member, wait, &mut orders).await else {
+    /// Follows one member after another until the handle is dropped.
+    pub(crate) async fn run(mut self, mut commands: mpsc::Receiver<Command>, datagrams: Datagrams) {
+        while let Some((member, wait)) = self.member_selector.next(Instant::now()) {
+            let Some(connected) = self.connect(member, wait, &mut commands).await else {
                 return;
             };
             let end = match connected {
-                Ok(connection) => self.follow(connection, &mut orders, &datagrams).await,
-                Err(error) => End::Failed(error),
+                Ok(connection) => self.follow(connection, &mut commands, &datagrams).await,
+                Err(error) => SessionEnd::Failed(error),
             };
             match end {
-                End::Dropped => return,
-                End::Left => self.choice.left(member, Instant::now()),
-                End::Failed(error) => self.failed(member, &error),
+                SessionEnd::Dropped => return,
+                SessionEnd::Drained => self.member_selector.drained(member, Instant::now()),
+                SessionEnd::Failed(error) => self.failed(member, &error),
             }
         }
-        log::error!("no control member is configured; name some in `members`");
+        log::error!("no control member is configured; add one to `members` in the settings");
     }
 
-    /// Connects after `wait` while orders are taken in; `None` once the handle is dropped.
+    /// Connects after `wait`, and queues commands meanwhile. Returns `None` once the handle is
+    /// dropped.
     async fn connect(
         &mut self,
         member: SocketAddr,
         wait: Duration,
-        orders: &mut mpsc::Receiver<Order>,
+        commands: &mut mpsc::Receiver<Command>,
     ) -> Option<StepResult<Connection>> {
         let node = self.config.owner.0;
         let me = Hello { kind: Kind::Entry, vm: self.config.vm.clone(), node };
@@ -129,93 +130,93 @@
         loop {
             tokio::select! {
                 connected = &mut opening => return Some(connected),
-                order = orders.recv() => { self.take(order?); }
+                command = commands.recv() => { self.queue_command(command?); }
             }
         }
     }
 
-    /// Follows one member until that ends.
+    /// Follows one member until the session ends.
     async fn follow(
         &mut self,
         connection: Connection,
-        orders: &mut mpsc::Receiver<Order>,
+        commands: &mut mpsc::Receiver<Command>,
         datagrams: &Datagrams,
-    ) -> End {
+    ) -> SessionEnd {
         let member = connection.address();
         let (sender, mut receiver) = connection.split::<EntryMessage, ControlMessage>();
-        self.opened(member, &sender);
-        let mut patience = Patience::new(Instant::now(), receiver.received());
-        let mut ticks = interval(CONFIRM_PERIOD);
+        self.start_session(member, &sender);
+        let mut confirm_timer = ConfirmTimer::new(Instant::now(), receiver.received());
+        let mut ticks = interval(CONFIRM_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let end = loop {
             let now = Instant::now();
-            if patience.is_over(now, receiver.received()) {
-                let why = format!("no quorum confirmed for {CONFIRM_PATIENCE:?}");
-                break End::Failed(StepError::new("confirm version", why).at(member));
+            if confirm_timer.has_expired(now, receiver.received()) {
+                let why = format!("no quorum confirmed for {CONFIRM_TIMEOUT:?}");
+                break SessionEnd::Failed(StepError::new("confirm version", why).at(member));
             }
             self.send_due(&sender, now);
-            let due = self.requests.next_due().unwrap_or(now + CONFIRM_PERIOD);
-            let wake = due.min(patience.deadline());
+            let next_due = self.requests.next_due().unwrap_or(now + CONFIRM_INTERVAL);
+            let wake = next_due.min(confirm_timer.deadline());
             tokio::select! {
                 message = receiver.recv() => match message {
-                    Ok(Some(ControlMessage::Leave)) => break End::Left,
+                    Ok(Some(ControlMessage::Leave)) => break SessionEnd::Drained,
                     Ok(Some(message)) => {
-                        if self.message(message, &sender) {
-                            self.choice.good(member);
-                            patience = Patience::new(Instant::now(), receiver.received());
+                        if self.handle_message(message, &sender) {
+                            self.member_selector.confirmed(member);
+                            confirm_timer = ConfirmTimer::new(Instant::now(), receiver.received());
                         }
                     }
-                    Ok(None) => break End::Failed(StepError::new("follow", "closed").at(member)),
-                    Err(error) => break End::Failed(error),
+                    Ok(None) => break SessionEnd::Failed(StepError::new("follow", "closed").at(member)),
+                    Err(error) => break SessionEnd::Failed(error),
                 },
-                order = orders.recv() => match order {
-                    Some(order) => self.order(order, member, &sender, datagrams).await,
-                    None => break End::Dropped,
+                command = commands.recv() => match command {
+                    Some(command) => self.handle_command(command, member, &sender, datagrams).await,
+                    None => break SessionEnd::Dropped,
                 },
-                digest = datagrams.recv::<Digest>() => self.datagram(digest, member),
+                digest = datagrams.recv::<Digest>() => self.handle_datagram(digest, member),
                 _ = ticks.tick() => self.tick(&sender),
                 () = sleep_until(wake.into()) => {}
             }
         };
-        // Without this the member would keep the session until it finds it silent.
+        // Without this, the member would keep the session until it detects the silence.
         sender.abort();
-        self.requests.lost(Instant::now());
-        self.shared.show(|view| view.member = None);
+        self.requests.connection_lost(Instant::now());
+        self.shared.update_view(|view| view.member = None);
         end
     }
 
-    fn opened(&mut self, member: SocketAddr, sender: &Out) {
-        log::info!(peer = member.to_string(); "follows control");
-        self.shared.show(|view| {
+    fn start_session(&mut self, member: SocketAddr, sender: &EntrySender) {
+        log::info!(peer = member.to_string(); "started a session with a control member");
+        self.shared.update_view(|view| {
             view.member = Some(member);
             view.sessions += 1;
         });
-        self.questions.clear();
-        self.outbox.opened();
-        self.names.clear();
+        self.confirm_requests.clear();
+        self.outbox.start_session();
+        self.load_names.clear();
         self.document = None;
-        self.load.reset();
+        self.load_reporter.reset();
         let FollowerConfig { vm, site, owner, .. } = self.config.clone();
         let have = self.versions.have();
         send(sender, &EntryMessage::Follow { vm, site, owner, have });
         if self.draining {
             send(sender, &EntryMessage::Draining);
         }
-        self.tell_behind(sender);
+        self.report_rejected_version(sender);
     }
 
     fn failed(&mut self, member: SocketAddr, error: &StepError) {
-        self.choice.failed(member, Instant::now(), &mut rand::rng());
-        if let Some(held) = self.faults.pass() {
-            log::warn!(peer = member.to_string(), held; "control session ended: {error}");
+        self.member_selector.failed(member, Instant::now(), &mut rand::rng());
+        if let Some(held) = self.failure_log.pass() {
+            log::warn!(peer = member.to_string(), held; "the session with a control member failed, another member is tried: {error}");
         }
     }
 
-    /// Asks a quorum, and does what is due about once a second.
-    fn tick(&mut self, sender: &Out) {
+    /// Requests a confirmation and performs the periodic work.
+    fn tick(&mut self, sender: &EntrySender) {
         self.ticket += 1;
         let (ticket, have) = (self.ticket, self.versions.have());
-        self.questions.ask(ticket, have);
+        self.confirm_requests.add(ticket, have);
         send(sender, &EntryMessage::Confirm { ticket, have });
         if self.usage != UsageReport::default() && sender.try_send(&self.usage()).is_ok() {
             self.usage = UsageReport::default();
@@ -228,56 +229,56 @@
         EntryMessage::Usage(self.usage.clone())
     }
 
-    fn send_due(&mut self, sender: &Out, now: Instant) {
+    fn send_due(&mut self, sender: &EntrySender, now: Instant) {
         let send = |message: &EntryMessage| sender.try_send(message).is_ok();
         self.requests.send_due(now, &mut self.ticket, send);
     }
 
-    /// Takes in an order while there is no session.
-    fn take(&mut self, order: Order) {
-        match order {
-            Order::Request(pending) => self.requests.add(pending, Instant::now()),
-            Order::Usage(report) => merge_usage(&mut self.usage, report),
-            Order::Load(_) => {}
-            Order::Drain => self.draining = true,
+    /// Queues a command while there is no session.
+    fn queue_command(&mut self, command: Command) {
+        match command {
+            Command::Request(pending) => self.requests.add(pending, Instant::now()),
+            Command::Usage(report) => merge_usage(&mut self.usage, report),
+            Command::Load(_) => {}
+            Command::Drain => self.draining = true,
         }
     }
 
-    async fn order(
+    async fn handle_command(
         &mut self,
-        order: Order,
+        command: Command,
         member: SocketAddr,
-        sender: &Out,
+        sender: &EntrySender,
         datagrams: &Datagrams,
     ) {
-        match order {
-            Order::Load(in_flight) => {
-                let report = self.load.report(&in_flight, Instant::now());
+        match command {
+            Command::Load(in_flight) => {
+                let report = self.load_reporter.report(&in_flight, Instant::now());
                 if let Err(error) = datagrams.send(member, &report).await {
-                    log::debug!("load not reported: {error}");
+                    log::debug!("a load report could not be sent: {error}");
                 }
             }
-            Order::Drain => {
+            Command::Drain => {
                 self.draining = true;
                 send(sender, &EntryMessage::Draining);
             }
-            order => self.take(order),
+            command => self.queue_command(command),
         }
     }
 
-    /// Takes a message, and returns whether it is a quorum's confirmation.
-    fn message(&mut self, message: ControlMessage, sender: &Out) -> bool {
+    /// Handles a message. Returns whether it is a confirmation by a quorum.
+    fn handle_message(&mut self, message: ControlMessage, sender: &EntrySender) -> bool {
         let now = Instant::now();
         match message {
             ControlMessage::Service { version, document } => {
-                self.offer(version, &document, sender);
+                self.handle_offer(version, &document, sender);
                 self.document = Some((version, document));
             }
             ControlMessage::Edit { version, base, edit } => {
-                self.edit(version, base, &edit, sender);
+                self.apply_edit(version, base, &edit, sender);
             }
             ControlMessage::Confirmed { ticket, version } => {
-                return self.confirmed(ticket, version);
+                return self.handle_confirmation(ticket, version);
             }
             ControlMessage::Claim { ticket, answer } => {
                 self.requests.answered(ticket, Answer::Claim(Claimed::sure(answer)));
@@ -286,25 +287,27 @@
                 self.requests.answered(ticket, Answer::Committed);
             }
             ControlMessage::Rejected { ticket, reason } => {
-                log::debug!("operation rejected: {reason}");
+                log::debug!("a claim operation was rejected and will be sent again: {reason}");
                 self.requests.rejected(ticket, now);
             }
             ControlMessage::Uncertain { ticket, reason } => {
-                log::debug!("operation uncertain: {reason}");
+                log::debug!(
+                    "the result of a claim operation is uncertain, it will be sent again: {reason}"
+                );
                 self.requests.uncertain(ticket, now);
             }
             ControlMessage::Digest(digest) => {
-                self.gate.stream(digest.sequence, now);
+                self.digest_filter.record_stream(digest.sequence, now);
                 self.outbox.digest(digest);
             }
             ControlMessage::Loads(numbered) => {
-                if let Some(digest) = self.names.decode(numbered) {
-                    self.gate.stream(digest.sequence, now);
+                if let Some(digest) = self.load_names.decode(numbered) {
+                    self.digest_filter.record_stream(digest.sequence, now);
                     self.outbox.digest(digest);
                 }
-                let dropped = self.names.dropped();
-                if self.shared.view.load().dropped != dropped {
-                    self.shared.show(|view| view.dropped = dropped);
+                let dropped = self.load_names.dropped();
+                if self.shared.view.load().dropped_digests != dropped {
+                    self.shared.update_view(|view| view.dropped_digests = dropped);
                 }
             }
             ControlMessage::Shares(shares) => self.outbox.shares(shares),
@@ -313,22 +316,23 @@
         false
     }
 
-    fn datagram(&mut self, received: StepResult<(SocketAddr, Digest)>, member: SocketAddr) {
+    fn handle_datagram(&mut self, received: StepResult<(SocketAddr, Digest)>, member: SocketAddr) {
         match received {
             Ok((from, digest)) if from == member => {
-                if self.gate.datagram(digest.sequence, Instant::now()) {
+                if self.digest_filter.accept_datagram(digest.sequence, Instant::now()) {
                     self.outbox.digest(digest);
                 }
             }
             Ok(_) => {}
-            Err(error) => log::debug!("{error}"),
+            Err(error) => log::debug!("a datagram could not be received: {error}"),
         }
     }
 }
 
-/// Sends what is said again in time: a full queue or an ended connection is found elsewhere.
-fn send(sender: &Out, message: &EntryMessage) {
+/// Sends a message that is repeated anyway. A full queue or a closed connection is detected
+/// elsewhere.
+fn send(sender: &EntrySender, message: &EntryMessage) {
     if let Err(error) = sender.try_send(message) {
-        log::debug!("{error}");
+        log::debug!("a message to the control member was not sent: {error}");
     }
 }
--- a/crates/follower/src/session/offers.rs
+++ b/crates/follower/src/session/offers.rs
@@ -1,4 +1,4 @@
-//! The versions that control offers, whole or as changes.
+//! Handles the service versions that control members offer, in full or as edits.
 
 use std::sync::Arc;
 
@@ -6,36 +6,45 @@
 use wire::edit::DocumentEdit;
 use wire::session::{EntryMessage, Ticket};
 
-use super::{Out, Task, send};
+use super::{EntrySender, Task, send};
 use crate::{Offer, Snapshot};
 
 impl Task {
-    /// Takes a change of the document that this session sent last. One that does not fit changes
-    /// nothing here: the whole document is asked for, and the version in force stays.
-    pub(super) fn edit(
+    /// Applies an edit to the document that this session sent last. If the edit does not apply, the
+    /// full document is requested and the version in force stays.
+    pub(super) fn apply_edit(
         &mut self,
         version: Version,
         base: Version,
         edit: &DocumentEdit,
-        sender: &Out,
+        sender: &EntrySender,
     ) {
         let before = self.document.take().filter(|(have, _)| *have == base);
         let Some(document) = before.and_then(|(_, it)| edit.apply(&it)) else {
-            log::warn!("the change from version {base} to {version} does not fit; asks for all");
-            self.shared.show(|view| view.misfits += 1);
+            log::warn!(
+                "the edit from version {base} to {version} does not apply; requesting it in full"
+            );
+            self.shared.update_view(|view| view.failed_edits += 1);
             return send(sender, &EntryMessage::NeedWhole);
         };
-        self.offer(version, &document, sender);
+        self.handle_offer(version, &document, sender);
         self.document = Some((version, document));
     }
 
-    pub(super) fn offer(&mut self, version: Version, document: &Document, sender: &Out) {
+    pub(super) fn handle_offer(
+        &mut self,
+        version: Version,
+        document: &Document,
+        sender: &EntrySender,
+    ) {
         match self.versions.offer(version) {
             Offer::Same => {}
             Offer::Lower => {
                 let have = self.versions.have();
-                log::warn!("control offered version {version}; {have} stays in force");
-                self.shared.show(|view| view.lower += 1);
+                log::warn!(
+                    "ignored version {version}, which is lower than one offered before; {have} stays in force"
+                );
+                self.shared.update_view(|view| view.lower_offers += 1);
             }
             offer => match settings::resolve(document, &self.config.site) {
                 Ok(service) => {
@@ -44,37 +53,43 @@
                     if offer == Offer::Install {
                         self.install(snapshot);
                     } else {
-                        self.held = Some(snapshot);
+                        self.held_snapshot = Some(snapshot);
                     }
                 }
                 Err(faults) => {
-                    log::error!("version {version} is kept out, it cannot be resolved: {faults}");
-                    self.kept_out = Some((version, faults.to_string()));
-                    self.shared.show(|view| view.behind.clone_from(&self.kept_out));
-                    self.tell_behind(sender);
+                    log::error!(
+                        "version {version} cannot be resolved and is not installed: {faults}"
+                    );
+                    self.rejected_version = Some((version, faults.to_string()));
+                    self.shared
+                        .update_view(|view| view.rejected.clone_from(&self.rejected_version));
+                    self.report_rejected_version(sender);
                 }
             },
         }
     }
 
-    /// Takes a quorum's confirmation, and returns whether it answers an open question.
-    pub(super) fn confirmed(&mut self, ticket: Ticket, version: Version) -> bool {
-        let Some(question) = self.questions.answered(ticket) else {
+    /// Handles a quorum's confirmation. Returns whether it answers an open request.
+    pub(super) fn handle_confirmation(&mut self, ticket: Ticket, version: Version) -> bool {
+        let Some(request) = self.confirm_requests.take(ticket) else {
             return false;
         };
         if self.versions.confirm(version)
-            && let Some(snapshot) = self.held.take()
+            && let Some(snapshot) = self.held_snapshot.take()
         {
             self.install(snapshot);
         }
-        // A version that came while the question was open may well be higher than the answer. One
-        // that was in force before it may not, unless the members lost what they had committed.
-        if version < question.have {
-            let have = question.have;
-            log::error!("a quorum says version {version} is in force, but {have} was accepted");
-            self.shared.show(|view| view.lower += 1);
+        // A version that arrived while the request was open may be higher than the confirmed one. A
+        // version that was in force before the request may not, unless the members lost a committed
+        // version.
+        if version < request.have {
+            let have = request.have;
+            log::error!(
+                "a quorum confirmed version {version}, lower than {have}, which was already in force"
+            );
+            self.shared.update_view(|view| view.lower_offers += 1);
         } else if self.versions.is_current(version) {
-            self.shared.freshness.confirm(question.asked);
+            self.shared.freshness.confirm(request.requested_at);
         }
         true
     }
@@ -82,17 +97,17 @@
     fn install(&mut self, snapshot: Arc<Snapshot>) {
         let version = snapshot.service.version;
         self.versions.installed(version);
-        if self.kept_out.as_ref().is_some_and(|(kept, _)| *kept < version) {
-            self.kept_out = None;
-            self.shared.show(|view| view.behind = None);
+        if self.rejected_version.as_ref().is_some_and(|(kept, _)| *kept < version) {
+            self.rejected_version = None;
+            self.shared.update_view(|view| view.rejected = None);
         }
         self.shared.current.store(Some(Arc::clone(&snapshot)));
         log::info!("version {version} is in force");
         self.outbox.service(snapshot);
     }
 
-    pub(super) fn tell_behind(&self, sender: &Out) {
-        if let Some((version, why)) = self.kept_out.clone() {
+    pub(super) fn report_rejected_version(&self, sender: &EntrySender) {
+        if let Some((version, why)) = self.rejected_version.clone() {
             send(sender, &EntryMessage::Behind { version, why });
         }
     }
--- a/crates/follower/src/link.rs
+++ b/crates/follower/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the handle and the session's task share.
+//! State shared by the handle and the session's task.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 use crate::freshness::Freshness;
 use crate::requests::Pending;
 
-/// What the handle asks of the session's task.
+/// A command from the handle to the session's task.
 #[derive(Debug)]
-pub(crate) enum Order {
+pub(crate) enum Command {
     /// A claim operation.
     Request(Pending),
-    /// Use to report.
+    /// Usage to report.
     Usage(UsageReport),
     /// Calls in flight to report.
     Load(Vec<(UpstreamName, u32)>),
@@ -24,24 +24,24 @@
     Drain,
 }
 
-/// What can be seen of the session, for the entry's status.
+/// The state of the session, for the entry's status.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionView {
-    /// The member that is followed, if any.
+    /// The address of the followed member, if any.
     pub member: Option<SocketAddr>,
-    /// How many sessions were opened.
+    /// The number of sessions opened.
     pub sessions: u64,
-    /// How many versions lower than the one in force were offered, and left.
-    pub lower: u64,
-    /// How many digests were dropped because an earlier one was lost.
-    pub dropped: u64,
-    /// How many changes of the document did not fit, so that the whole one was asked for.
-    pub misfits: u64,
-    /// The version that is kept out because it cannot be resolved, and why.
-    pub behind: Option<(Version, String)>,
+    /// The number of offered versions that were lower than the one in force and were ignored.
+    pub lower_offers: u64,
+    /// The number of digests dropped because an earlier one was lost.
+    pub dropped_digests: u64,
+    /// The number of edits that did not apply, after which the full document was requested.
+    pub failed_edits: u64,
+    /// The version that was rejected because it cannot be resolved, and the reason.
+    pub rejected: Option<(Version, String)>,
 }
 
-/// State that is read by all threads and written by the session's task.
+/// State that the session's task writes and all threads read.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) current: ArcSwapOption<Snapshot>,
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Changes what can be seen; only the session's task calls it.
-    pub(crate) fn show(&self, change: impl FnOnce(&mut SessionView)) {
+    /// Updates the session's state; called only by the session's task.
+    pub(crate) fn update_view(&self, change: impl FnOnce(&mut SessionView)) {
         let mut view = SessionView::clone(&self.view.load());
         change(&mut view);
         self.view.store(Arc::new(view));
--- a/crates/follower/tests/claim.rs
+++ b/crates/follower/tests/claim.rs
@@ -1,20 +1,22 @@
-//! Claim operations across lost answers and lost connections.
+//! Claim operations when answers or connections are lost.
 
 mod common;
 
-use common::{Member, answer, key, later, proof, request, running, soon, spawn, within};
+use common::{
+    Member, answer, far_deadline, key, near_deadline, proof, request, running, spawn, within,
+};
 use follower::{ClaimError, Claimed};
 use types::{ClaimAnswer, Version};
 use wire::session::{ControlMessage, EntryMessage, Ticket};
 
-/// Symptom: a non-repeatable request fails whenever a control member restarts.
-/// Sequence: the claim is sent, and the connection is lost before its answer.
-/// Cause would be: a claim that is not sent again although its state answers it the same way.
+/// A claim whose connection is lost before its answer must be sent again, because the state answers
+/// it in the same way. Otherwise every restart of a control member would fail a non-repeatable
+/// request.
 #[tokio::test]
 async fn a_claim_is_sent_again_over_a_new_connection() {
     let mut member = Member::bind().await;
     let (follower, _events, mut session) = running(&mut member, 1).await;
-    let claim = tokio::spawn(async move { follower.claim(request(), later()).await });
+    let claim = tokio::spawn(async move { follower.claim(request(), far_deadline()).await });
     let EntryMessage::Claim { request: first, .. } = session.next().await else { panic!() };
     drop(session);
 
@@ -31,7 +33,7 @@
 async fn a_rejected_or_uncertain_claim_is_sent_again() {
     let mut member = Member::bind().await;
     let (follower, _events, mut session) = running(&mut member, 1).await;
-    let claim = tokio::spawn(async move { follower.claim(request(), later()).await });
+    let claim = tokio::spawn(async move { follower.claim(request(), far_deadline()).await });
     let EntryMessage::Claim { ticket, .. } = session.next().await else { panic!() };
     session.send(ControlMessage::Rejected { ticket, reason: "no leader".to_owned() }).await;
     let EntryMessage::Claim { ticket, .. } = session.next().await else { panic!() };
@@ -42,22 +44,21 @@
     assert_eq!(within("the answer", claim).await.unwrap(), Ok(claimed));
 }
 
-/// Symptom: a caller is told not-run, and its resend is refused for good, or it ran after all.
-/// Sequence: the claim is sent, and no answer comes in time.
-/// Cause would be: a lost answer that is taken for a no.
+/// A claim without an answer until its deadline must be uncertain. If it counted as not run, the
+/// caller's resend could be refused for good, or the request could have run after all.
 #[tokio::test]
 async fn a_claim_whose_answer_is_lost_is_uncertain() {
     let mut member = Member::bind().await;
     let (follower, _events, mut session) = running(&mut member, 1).await;
-    let claim = tokio::spawn(async move { follower.claim(request(), soon()).await });
+    let claim = tokio::spawn(async move { follower.claim(request(), near_deadline()).await });
     let EntryMessage::Claim { .. } = session.next().await else { panic!() };
     let ended = within("the end", claim).await.unwrap();
     assert!(matches!(ended, Err(ClaimError::Uncertain(_))), "{ended:?}");
 }
 
-/// Symptom: a claim stands that its owner has given up as not run.
-/// Sequence: it was sent and its connection lost; over the next connection it is rejected.
-/// Cause would be: the rejection of the second sending taken for one of the first.
+/// A claim may be sent, lose its connection, and be rejected over the next connection. The
+/// rejection covers only the second attempt: if it counted for the first one too, the owner would
+/// give up a claim that exists.
 #[tokio::test]
 async fn a_rejection_does_not_undo_an_earlier_sending() {
     let mut member = Member::bind().await;
@@ -89,7 +90,7 @@
 async fn a_claim_without_a_quorum_is_rejected_at_once() {
     let member = Member::bind().await;
     let (follower, _events) = spawn(&[member.address()]);
-    let ended = within("the end", follower.claim(request(), later())).await;
+    let ended = within("the end", follower.claim(request(), far_deadline())).await;
     assert!(matches!(ended, Err(ClaimError::Rejected(_))), "{ended:?}");
 }
 
@@ -104,19 +105,19 @@
         }
     })
     .await;
-    let ended = follower.claim(request(), soon()).await;
+    let ended = follower.claim(request(), near_deadline()).await;
     assert!(matches!(ended, Err(ClaimError::Rejected(_))), "{ended:?}");
 }
 
-/// Symptom: a resend finds a claim that never ends, although the request was answered.
-/// Sequence: the entry stores the answer; the member dies; the caller's time is up.
-/// Cause would be: an answer that is given up together with its caller's wait.
+/// Storing an answer must continue past the caller's deadline when the member dies. Otherwise a
+/// resend would find a claim that never ends, although the request was answered.
 #[tokio::test]
 async fn finish_goes_on_past_its_time() {
     let mut member = Member::bind().await;
     let (follower, _events, mut session) = running(&mut member, 1).await;
     let handle = std::sync::Arc::clone(&follower);
-    let finish = tokio::spawn(async move { handle.finish(key(), proof(), answer(), soon()).await });
+    let finish =
+        tokio::spawn(async move { handle.finish(key(), proof(), answer(), near_deadline()).await });
     let EntryMessage::Finish { .. } = session.next().await else { panic!() };
     let ended = within("the end", finish).await.unwrap();
     assert!(matches!(ended, Err(ClaimError::Uncertain(_))), "{ended:?}");
@@ -131,8 +132,9 @@
     session.send(ControlMessage::Rejected { ticket, reason: "no leader".to_owned() }).await;
     let EntryMessage::Finish { ticket, .. } = session.next().await else { panic!() };
     session.send(ControlMessage::Committed { ticket }).await;
-    // What comes next is something else: the answer is not sent once more.
-    let release = tokio::spawn(async move { follower.release(key(), proof(), later()).await });
+    // The next message is another operation: the answer is not sent again.
+    let release =
+        tokio::spawn(async move { follower.release(key(), proof(), far_deadline()).await });
     let EntryMessage::Release { ticket, .. } = session.next().await else { panic!() };
     session.send(ControlMessage::Committed { ticket }).await;
     assert_eq!(within("the release", release).await.unwrap(), Ok(()));
@@ -140,7 +142,7 @@
 
 struct Release {
     name: &'static str,
-    /// What the member answers, one after the other.
+    /// The member's answers, in order.
     answers: Vec<fn(Ticket) -> ControlMessage>,
     ended: Result<(), ClaimError>,
 }
@@ -162,15 +164,16 @@
     ]
 }
 
-/// Symptom: a release is tried for ever, or given up while a claim is still on its way.
-/// Sequence: the member cannot commit it yet, or the key has ended meanwhile.
-/// Cause would be: one word for both.
+/// A release may fail because the member cannot commit it yet, or because the key has ended
+/// meanwhile. The two must be distinguished: otherwise a release would be retried for ever, or be
+/// given up while a claim is still in flight.
 #[tokio::test]
 async fn a_release_tells_a_key_that_ended_from_a_try_without_effect() {
     for case in releases() {
         let mut member = Member::bind().await;
         let (follower, _events, mut session) = running(&mut member, 1).await;
-        let release = tokio::spawn(async move { follower.release(key(), proof(), later()).await });
+        let release =
+            tokio::spawn(async move { follower.release(key(), proof(), far_deadline()).await });
         for answer in case.answers {
             let EntryMessage::Release { ticket, .. } = session.next().await else { panic!() };
             session.send(answer(ticket)).await;
--- a/crates/follower/tests/common/mod.rs
+++ b/crates/follower/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A control member played by the test.
+//! A fake control member that the test drives.
 #![allow(dead_code)]
 
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,11 +16,11 @@
 
 const SECRET: &[u8] = b"a secret of the tests";
 
-const CAP: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 pub(crate) async fn within<T>(what: &str, work: impl Future<Output = T>) -> T {
-    let done = tokio::time::timeout(CAP, work).await;
-    done.unwrap_or_else(|_| panic!("never happened: {what}"))
+    let done = tokio::time::timeout(TIMEOUT, work).await;
+    done.unwrap_or_else(|_| panic!("timed out waiting for {what}"))
 }
 
 pub(crate) struct Member {
@@ -32,8 +32,8 @@
 pub(crate) struct Session {
     pub(crate) sender: Sender<ControlMessage>,
     pub(crate) receiver: Receiver<EntryMessage>,
-    /// What questions are answered with on the way; `None` leaves them open.
-    pub(crate) confirms: Option<Version>,
+    /// The version that answers confirmation requests automatically; `None` leaves them unanswered.
+    pub(crate) confirm_version: Option<Version>,
 }
 
 impl Member {
@@ -43,7 +43,7 @@
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         loop {
             let listener = Listener::bind(any, &secret, me.clone()).await.unwrap();
-            // The port may be taken for datagrams; then another one is drawn.
+            // If the port is already taken for datagrams, another one is drawn.
             if let Ok(datagrams) = Datagrams::bind(listener.address(), &secret).await {
                 return Self { listener, datagrams };
             }
@@ -55,10 +55,10 @@
     }
 
     /// Waits for the entry's next session.
-    pub(crate) async fn session(&mut self, confirms: Option<Version>) -> Session {
+    pub(crate) async fn session(&mut self, confirm_version: Option<Version>) -> Session {
         let accepted = within("a session", self.listener.accept()).await;
         let (sender, receiver) = accepted.unwrap().1.split();
-        let mut session = Session { sender, receiver, confirms };
+        let mut session = Session { sender, receiver, confirm_version };
         let first = session.next().await;
         assert!(matches!(first, EntryMessage::Follow { .. }), "{first:?}");
         session
@@ -76,26 +76,27 @@
     }
 
     /// Returns the next message of any kind.
-    pub(crate) async fn any(&mut self) -> EntryMessage {
+    pub(crate) async fn next_any(&mut self) -> EntryMessage {
         within("a message", self.receiver.recv()).await.unwrap().expect("an open session")
     }
 
-    /// Returns the next question's number.
-    pub(crate) async fn question(&mut self) -> u64 {
+    /// Returns the ticket of the next confirmation request.
+    pub(crate) async fn confirm_ticket(&mut self) -> u64 {
         loop {
-            if let EntryMessage::Confirm { ticket, .. } = self.any().await {
+            if let EntryMessage::Confirm { ticket, .. } = self.next_any().await {
                 return ticket;
             }
         }
     }
 
-    /// Returns the next message that is no question; questions are answered on the way.
+    /// Returns the next message that is not a confirmation request; answers such requests
+    /// meanwhile.
     pub(crate) async fn next(&mut self) -> EntryMessage {
-        within("a message that is no question", async {
+        within("a message other than a confirmation request", async {
             loop {
-                match self.any().await {
+                match self.next_any().await {
                     EntryMessage::Confirm { ticket, .. } => {
-                        if let Some(version) = self.confirms {
+                        if let Some(version) = self.confirm_version {
                             self.send(ControlMessage::Confirmed { ticket, version }).await;
                         }
                     }
@@ -106,12 +107,12 @@
         .await
     }
 
-    /// Answers questions until the session or the test ends.
+    /// Answers confirmation requests until the session or the test ends.
     pub(crate) fn serve(mut self) {
         tokio::spawn(async move {
             while let Ok(Some(message)) = self.receiver.recv().await {
                 if let EntryMessage::Confirm { ticket, .. } = message
-                    && let Some(version) = self.confirms
+                    && let Some(version) = self.confirm_version
                 {
                     let _ = self.sender.send(&ControlMessage::Confirmed { ticket, version }).await;
                 }
@@ -140,25 +141,25 @@
     Follower::spawn(config).unwrap()
 }
 
-/// Starts a follower and brings it to `version`, with a quorum's confirmation.
+/// Starts a follower and installs `version`, confirmed by a quorum.
 pub(crate) async fn running(
     member: &mut Member,
     version: u64,
 ) -> (Arc<Follower>, mpsc::Receiver<Event>, Session) {
     let (follower, mut events) = spawn(&[member.address()]);
-    let session = bring(member, &mut events, version).await;
+    let session = install_version(member, &mut events, version).await;
     (follower, events, session)
 }
 
-/// Plays a session up to a version in force.
-pub(crate) async fn bring(
+/// Accepts a session and installs `version` in it.
+pub(crate) async fn install_version(
     member: &mut Member,
     events: &mut mpsc::Receiver<Event>,
     version: u64,
 ) -> Session {
     let mut session = member.session(Some(Version(version))).await;
     session.service(version).await;
-    let ticket = session.question().await;
+    let ticket = session.confirm_ticket().await;
     session.send(ControlMessage::Confirmed { ticket, version: Version(version) }).await;
     let event = within("the service", events.recv()).await.unwrap();
     assert!(matches!(event, Event::Service(_)), "{event:?}");
@@ -186,11 +187,11 @@
     StoredAnswer { outcome: Outcome::Complete, status: 200, body, digest: [4; 32] }
 }
 
-/// Returns a time so far ahead that no test reaches it.
-pub(crate) fn later() -> Instant {
-    Instant::now() + CAP
+/// Returns a deadline that no test reaches.
+pub(crate) fn far_deadline() -> Instant {
+    Instant::now() + TIMEOUT
 }
 
-pub(crate) fn soon() -> Instant {
+pub(crate) fn near_deadline() -> Instant {
     Instant::now() + Duration::from_millis(300)
 }
--- a/crates/follower/tests/member.rs
+++ b/crates/follower/tests/member.rs
@@ -1,12 +1,12 @@
-//! Which member is followed, and what is reported to it.
+//! Which member an entry follows, and what it reports to it.
 
 mod common;
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use common::{Member, bring, running, spawn, vm, within};
-use follower::{Choice, DigestGate, Event, LoadDelta, merge_usage};
+use common::{Member, install_version, running, spawn, vm, within};
+use follower::{DigestFilter, Event, LoadReporter, MemberSelector, merge_usage};
 use rand::SeedableRng;
 use tokio::io::copy;
 use tokio::net::{TcpListener, TcpStream};
@@ -14,7 +14,8 @@
 use types::{Digest, Incarnation, Millis, UpstreamName, Version};
 use wire::session::{ControlMessage, CustomerUse, EntryMessage, LoadReport, StageUse, UsageReport};
 
-/// Forwards to a member until told to stop; what is open then stays open and carries nothing.
+/// Forwards connections to a member until told to stop. Open connections then stay open and carry
+/// nothing.
 async fn forwarder(target: SocketAddr, stop: CancellationToken) -> SocketAddr {
     let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = socket.local_addr().unwrap();
@@ -36,9 +37,8 @@
     address
 }
 
-/// Symptom: an entry turns stale although two of three members are well.
-/// Sequence: the member it follows goes silent, drains, or is cut off from the others.
-/// Cause would be: an entry that stays with its member as long as the socket is open.
+/// The followed member may go silent, drain, or be cut off from the other members. An entry that
+/// stayed as long as the socket is open would become stale although two of three members work.
 #[tokio::test]
 async fn another_member_is_followed() {
     enum Fault {
@@ -62,7 +62,7 @@
         let stop = CancellationToken::new();
         let first = forwarder(near.address(), stop.clone()).await;
         let (follower, mut events) = spawn(&[first, far.address()]);
-        let session = bring(&mut near, &mut events, 1).await;
+        let session = install_version(&mut near, &mut events, 1).await;
         assert_eq!(follower.view().member, Some(first), "{}", case.name);
         match case.fault {
             Fault::Silent => {
@@ -73,11 +73,11 @@
                 session.send(ControlMessage::Leave).await;
                 session.serve();
             }
-            Fault::NoQuorum => common::Session { confirms: None, ..session }.serve(),
+            Fault::NoQuorum => common::Session { confirm_version: None, ..session }.serve(),
             Fault::Closed => drop((session, near)),
         }
         let mut other = far.session(Some(Version(1))).await;
-        let ticket = other.question().await;
+        let ticket = other.confirm_ticket().await;
         let asked = Instant::now();
         other.send(ControlMessage::Confirmed { ticket, version: Version(1) }).await;
         within("fresh again", async {
@@ -125,44 +125,48 @@
 }
 
 #[test]
-fn the_first_member_that_need_not_be_left_alone_is_next() {
+fn the_first_member_that_need_not_be_avoided_is_next() {
     let members: Vec<SocketAddr> =
         [1, 2, 3].map(|port| SocketAddr::from(([127, 0, 0, 1], port))).to_vec();
     let mut rng = rand::rngs::StdRng::seed_from_u64(1);
-    let mut choice = Choice::new(&members);
+    let mut member_selector = MemberSelector::new(&members);
     let now = Instant::now();
-    assert_eq!(choice.next(now), Some((members[0], Duration::ZERO)));
-    choice.failed(members[0], now, &mut rng);
-    assert_eq!(choice.next(now), Some((members[1], Duration::ZERO)));
-    choice.left(members[1], now);
-    assert_eq!(choice.next(now), Some((members[2], Duration::ZERO)));
+    assert_eq!(member_selector.next(now), Some((members[0], Duration::ZERO)));
+    member_selector.failed(members[0], now, &mut rng);
+    assert_eq!(member_selector.next(now), Some((members[1], Duration::ZERO)));
+    member_selector.drained(members[1], now);
+    assert_eq!(member_selector.next(now), Some((members[2], Duration::ZERO)));
     for _ in 0..20 {
-        choice.failed(members[2], now, &mut rng);
+        member_selector.failed(members[2], now, &mut rng);
     }
-    let (next, wait) = choice.next(now).unwrap();
+    let (next, wait) = member_selector.next(now).unwrap();
     assert_eq!(next, members[0]);
     assert!(wait > Duration::ZERO && wait <= Duration::from_millis(100), "{wait:?}");
-    // However often it failed, a member is tried again within seconds.
-    choice.left(members[0], now);
-    assert!(choice.next(now).unwrap().1 <= Duration::from_secs(5));
-    choice.good(members[2]);
-    assert_eq!(choice.next(now), Some((members[2], Duration::ZERO)));
-    assert_eq!(Choice::new(&[]).next(now), None);
+    // Even after many failures a member is tried again within seconds.
+    member_selector.drained(members[0], now);
+    assert!(member_selector.next(now).unwrap().1 <= Duration::from_secs(5));
+    member_selector.confirmed(members[2]);
+    assert_eq!(member_selector.next(now), Some((members[2], Duration::ZERO)));
+    assert_eq!(MemberSelector::new(&[]).next(now), None);
 }
 
-// Symptom: claims end as no-quorum for seconds after a rolling restart, though all members are up.
-// Sequence: each member drains in turn and sends its entries away; the last one leaves no other.
-// Cause looked for: a member that said it drains is left alone as long as one that keeps failing.
+// In a rolling restart each member drains in turn and sends its entries away. If a member that
+// drained were avoided for as long as one that keeps failing, claims would end as no-quorum for
+// seconds although all members are up.
 #[test]
 fn members_that_drained_are_tried_again_at_once_where_no_other_is_left() {
     let members: Vec<SocketAddr> =
         (1..=3).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
     let now = Instant::now();
-    let mut choice = Choice::new(&members);
-    choice.left(members[0], now);
-    assert_eq!(choice.next(now), Some((members[1], Duration::ZERO)), "another comes first");
-    members[1..].iter().for_each(|it| choice.left(*it, now));
-    let (first, wait) = choice.next(now).unwrap();
+    let mut member_selector = MemberSelector::new(&members);
+    member_selector.drained(members[0], now);
+    assert_eq!(
+        member_selector.next(now),
+        Some((members[1], Duration::ZERO)),
+        "another comes first"
+    );
+    members[1..].iter().for_each(|it| member_selector.drained(*it, now));
+    let (first, wait) = member_selector.next(now).unwrap();
     assert_eq!(first, members[0]);
     assert!(wait <= Duration::from_millis(100), "{wait:?}");
 }
@@ -183,11 +187,11 @@
         Case { at: 3_300, sequence: 1, taken: true },
         Case { at: 3_400, sequence: 2, taken: true },
     ];
-    let mut gate = DigestGate::default();
+    let mut digest_filter = DigestFilter::default();
     let start = Instant::now();
     for case in cases {
         let now = start + Duration::from_millis(case.at);
-        assert_eq!(gate.datagram(case.sequence, now), case.taken, "at {}", case.at);
+        assert_eq!(digest_filter.accept_datagram(case.sequence, now), case.taken, "at {}", case.at);
     }
 }
 
@@ -206,7 +210,7 @@
         Case { at: 300, load: &[("b", 0)], full: false, sent: &[("a", 0)] },
         Case { at: 2_000, load: &[("b", 1)], full: true, sent: &[("b", 1)] },
     ];
-    let mut delta = LoadDelta::new(vm(), Incarnation(1));
+    let mut delta = LoadReporter::new(vm(), Incarnation(1));
     let start = Instant::now();
     let named = |loads: &[(&str, u32)]| -> Vec<(UpstreamName, u32)> {
         loads.iter().map(|(name, calls)| (name.parse().unwrap(), *calls)).collect()
--- a/crates/follower/tests/slow_link.rs
+++ b/crates/follower/tests/slow_link.rs
@@ -1,4 +1,4 @@
-//! A service on its way to an entry whose link is slow beside its size.
+//! The transfer of a service over a link that is slow for its size.
 
 mod common;
 
@@ -10,39 +10,38 @@
 use types::{Document, Version};
 use wire::session::ControlMessage;
 
-/// How long the proxy holds back each chunk of 16 KiB: some 1.2 MB/s, as a link of 10 Mbit/s.
+/// The delay of each chunk of 16 KiB in the proxy: about 1.2 MB/s, like a link of 10 Mbit/s.
 const CHUNK_DELAY: Duration = Duration::from_millis(13);
 
-/// Some 2.5 s on that link.
+/// Takes about 2.5 s on that link.
 const BYTES: usize = 3_000_000;
 
-/// How long the entry's process stands still: longer than it waits for a confirmation.
+/// How long the entry's process is paused: longer than its confirmation timeout.
 const STALL: Duration = Duration::from_millis(1_800);
 
-/// Symptom: an entry leaves a member that is well, with `no quorum confirmed for 1.5s`.
-/// Sequence: the entry reads a document of 3 MB on a busy machine, which takes it 1.6 s, or its process is
-/// stopped; the confirmation has been sent meanwhile. Then it looks at the time before it reads on.
-/// Cause: the time that the entry itself took counts as the member's silence. In two of 238 runs at a load
-/// of 90 the trace was: `renewed: 2944086 bytes received`, then `message took 1.647s`, then `left`, 56 kB
-/// after the renewal.
+/// An entry must not leave a working member with `no quorum confirmed for 1.5s` because of its own
+/// delay. A busy machine needs 1.6 s to read a document of 3 MB, or the process is paused; the
+/// confirmation arrives meanwhile, and the entry checks the time before it reads on. In two of 238
+/// runs at a load of 90 the trace was: `renewed: 2944086 bytes received`, then `message took
+/// 1.647s`, then `left`, 56 kB after the renewal.
 #[tokio::test]
 async fn a_member_is_kept_while_the_entry_itself_stands_still() {
     let mut member = Member::bind().await;
     let (_follower, _events, mut session) = common::running(&mut member, 1).await;
-    let ticket = session.question().await;
+    let ticket = session.confirm_ticket().await;
     session.send(ControlMessage::Confirmed { ticket, version: Version(1) }).await;
-    // Nothing else runs on this thread: neither the connection nor the entry.
+    // Nothing else runs on this thread: neither the connection nor the entry makes progress.
     std::thread::sleep(STALL);
-    session.confirms = Some(Version(1));
+    session.confirm_version = Some(Version(1));
     session.serve();
     let left = tokio::time::timeout(STALL, member.session(None)).await;
     assert!(left.is_err(), "the member was left though it had answered");
 }
 
-/// An entry gave a member up once no quorum had confirmed its version for 1.5 s, and asked another. A
-/// confirmation goes behind the document that it confirms, and a document that takes the entry's link
-/// longer than that never arrived: each member in turn began to send it whole and was left, with
-/// `no quorum confirmed for 1.5s`, so that the entry served nothing and its link was always full.
+/// An entry used to leave a member after 1.5 s without a confirmation, with `no quorum confirmed
+/// for 1.5s`. A confirmation is sent after the document that it confirms. On a link too slow for
+/// the document, each member in turn began to send it in full and was left, so that the entry never
+/// got a service and its link was always full.
 #[tokio::test]
 async fn a_member_is_kept_while_a_large_service_arrives() {
     let mut member = Member::bind().await;
--- a/crates/follower/tests/version.rs
+++ b/crates/follower/tests/version.rs
@@ -1,4 +1,4 @@
-//! Which version comes into force, and how fresh it is.
+//! Which version comes into force, and how its freshness is measured.
 
 mod common;
 
@@ -10,26 +10,25 @@
 use wire::edit::DocumentEdit;
 use wire::session::{ControlMessage, EntryMessage};
 
-/// Symptom: a restarted entry serves under a version that was replaced long ago.
-/// Sequence: it asks a member that lags, and takes the first version that it gets.
-/// Cause would be: an offer taken before a quorum confirmed it.
+/// A restarted entry may ask a member that lags. If it installed the offer before a quorum
+/// confirmed it, it would serve with a version that was replaced long ago.
 #[tokio::test]
 async fn no_service_before_a_quorum_confirmed_it() {
     let mut member = Member::bind().await;
     let (follower, mut events) = spawn(&[member.address()]);
     let mut session = member.session(None).await;
     session.service(3).await;
-    // The digest comes behind the offer: once it is there, the offer was seen.
+    // The digest is sent after the offer: once it has arrived, the offer was handled.
     session.send(ControlMessage::Digest(Digest::default())).await;
     let event = within("the digest", events.recv()).await.unwrap();
     assert!(matches!(event, Event::Digest(_)), "{event:?}");
     assert!(follower.service().is_none());
 
-    // A quorum knows a higher version: the one on offer is not taken at all.
-    let ticket = session.question().await;
+    // A quorum confirms a higher version, so the offered one is never installed.
+    let ticket = session.confirm_ticket().await;
     session.send(ControlMessage::Confirmed { ticket, version: Version(5) }).await;
     session.service(5).await;
-    let ticket = session.question().await;
+    let ticket = session.confirm_ticket().await;
     assert!(follower.service().is_none());
     session.send(ControlMessage::Confirmed { ticket, version: Version(5) }).await;
     let event = within("the service", events.recv()).await.unwrap();
@@ -37,9 +36,8 @@
     assert_eq!(snapshot.service.version, Version(5));
 }
 
-/// Symptom: an accepted change is undone at one entry.
-/// Sequence: the entry moves to a member that lags and offers the version before.
-/// Cause would be: any version taken that differs.
+/// An entry may move to a member that lags and offers the previous version. If it installed every
+/// version that differs, an accepted change would be undone at this entry.
 #[tokio::test]
 async fn a_lower_version_is_never_installed() {
     let mut member = Member::bind().await;
@@ -50,16 +48,17 @@
     let event = within("the higher one", events.recv()).await.unwrap();
     let Event::Service(snapshot) = event else { panic!("{event:?}") };
     assert_eq!(snapshot.service.version, Version(6));
-    assert_eq!(follower.view().lower, 1);
-    // A quorum that answers with less than what was in force when it was asked is no good news.
+    assert_eq!(follower.view().lower_offers, 1);
+    // A confirmation of a lower version than was in force at the time of the request does not
+    // count.
     let before = loop {
-        if let EntryMessage::Confirm { ticket, have: Version(6) } = session.any().await {
+        if let EntryMessage::Confirm { ticket, have: Version(6) } = session.next_any().await {
             break ticket;
         }
     };
     session.send(ControlMessage::Confirmed { ticket: before, version: Version(2) }).await;
     within("it is counted", async {
-        while follower.view().lower != 2 {
+        while follower.view().lower_offers != 2 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     })
@@ -67,16 +66,15 @@
     assert_eq!(follower.service().unwrap().service.version, Version(6));
 }
 
-/// Symptom: an entry trusts its version for longer than its freshness bound.
-/// Sequence: the question or its answer is long under way.
-/// Cause would be: freshness counted from when the answer came.
+/// A request or its answer may be in flight for long. If freshness counted from the arrival of the
+/// answer, the entry would trust its version for longer than its freshness bound.
 #[tokio::test]
 async fn freshness_counts_from_the_question() {
     let mut member = Member::bind().await;
     let (follower, mut events) = spawn(&[member.address()]);
     let mut session = member.session(None).await;
     session.service(1).await;
-    let ticket = session.question().await;
+    let ticket = session.confirm_ticket().await;
     let seen = Instant::now();
     tokio::time::sleep(Duration::from_millis(400)).await;
     session.send(ControlMessage::Confirmed { ticket, version: Version(1) }).await;
@@ -89,20 +87,19 @@
     .await;
     let now = Instant::now();
     let age = follower.age(now).unwrap();
-    // The question was asked before the member saw it, so its age is at least this.
+    // The request was sent before the member received it, so its age is at least this.
     assert!(age >= now - seen, "{age:?}");
 }
 
-/// Symptom: an entry that knows it is behind says that it is fresh.
-/// Sequence: a quorum names a version that the entry does not have.
-/// Cause would be: any answer taken as good news.
+/// A quorum may confirm a version that the entry does not have. Such a confirmation must not make
+/// the entry fresh, because it knows that it is behind.
 #[tokio::test]
-async fn a_word_about_another_version_is_not_fresh() {
+async fn a_confirmation_of_another_version_is_not_fresh() {
     let mut member = Member::bind().await;
     let (follower, mut events, mut session) = running(&mut member, 1).await;
-    // The only good answer was to a question from before this moment.
+    // The only valid confirmation belongs to a request from before this moment.
     let seen = Instant::now();
-    let ticket = session.question().await;
+    let ticket = session.confirm_ticket().await;
     session.send(ControlMessage::Confirmed { ticket, version: Version(2) }).await;
     session.send(ControlMessage::Digest(Digest::default())).await;
     within("the digest", events.recv()).await.unwrap();
@@ -110,11 +107,11 @@
     assert!(follower.age(now).unwrap() >= now - seen);
 }
 
-/// Symptom: an entry of an older release dies, or serves nothing, on a document it cannot read.
-/// Sequence: a version comes that does not resolve at this site, then one that does.
-/// Cause would be: an error that is taken for a service, or that ends the session.
+/// An entry of an older release may receive a document that it cannot resolve. It must neither end
+/// the session nor replace the service with nothing, and it must install the next version that
+/// resolves.
 #[tokio::test]
-async fn what_cannot_be_resolved_is_kept_out_and_told() {
+async fn an_unresolvable_version_is_rejected_and_reported() {
     let mut member = Member::bind().await;
     let (follower, mut events, mut session) = running(&mut member, 1).await;
     let broken = Document { base: "{ not a document".to_owned(), ..document() };
@@ -122,22 +119,22 @@
     let told = session.next().await;
     assert!(matches!(told, EntryMessage::Behind { version: Version(2), .. }), "{told:?}");
     assert_eq!(follower.service().unwrap().service.version, Version(1));
-    assert!(follower.view().behind.is_some());
+    assert!(follower.view().rejected.is_some());
 
     session.service(3).await;
     within("the next one", events.recv()).await.unwrap();
     assert_eq!(follower.service().unwrap().service.version, Version(3));
-    assert_eq!(follower.view().behind, None);
+    assert_eq!(follower.view().rejected, None);
 }
 
-/// Symptom: an entry runs a service that nobody wrote, or goes back to an older one.
-/// Sequence: a change comes that is of another document, or of a version that the entry lacks.
-/// Cause would be: the change made at whatever text is there.
+/// An edit may belong to another document, or to a version that the entry does not have. If it were
+/// applied to the text at hand, the entry would use a service that nobody wrote, or go back to an
+/// older one.
 #[tokio::test]
 async fn a_change_that_does_not_fit_asks_for_the_whole_document() {
     struct Case {
         name: &'static str,
-        /// The version that the change names, and the text that it was made for.
+        /// The base version of the edit, and the text from which the edit was made.
         base: u64,
         text: String,
     }
@@ -155,9 +152,9 @@
         session.send(message).await;
         assert_eq!(session.next().await, EntryMessage::NeedWhole, "{name}");
         assert_eq!(follower.service().unwrap().service.version, Version(1), "{name}");
-        assert_eq!(follower.view().misfits, 1, "{name}");
+        assert_eq!(follower.view().failed_edits, 1, "{name}");
 
-        // The whole one, then a change that fits, then an older one that is left.
+        // The full document, then an edit that applies, then an older version that is ignored.
         session.service(8).await;
         within("the whole one", events.recv()).await.unwrap();
         let after = Document { base: format!("{} ", document().base), ..document() };
