--- a/crates/control/src/announcements.rs
+++ b/crates/control/src/announcements.rs
@@ -12,7 +12,7 @@
 pub(crate) const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The maximum age of an announcement that counts as current.
-pub(crate) const FRESH_FOR: Duration = Duration::from_secs(3);
+pub(crate) const MAX_ANNOUNCEMENT_AGE: Duration = Duration::from_secs(3);
 
 /// An announcement and the time of its arrival.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
 impl PeerAnnouncement {
     /// Returns whether the announcement is current.
     pub(crate) fn is_fresh(&self) -> bool {
-        self.at.elapsed() < FRESH_FOR
+        self.at.elapsed() < MAX_ANNOUNCEMENT_AGE
     }
 }
 
--- a/crates/control/src/background.rs
+++ b/crates/control/src/background.rs
@@ -36,7 +36,7 @@
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The maximum number of queued usage reports.
-const USAGE_LIMIT: usize = 1024;
+const MAX_QUEUED_REPORTS: usize = 1024;
 
 /// Queues usage reports from sessions and from other members.
 #[derive(Clone)]
@@ -45,7 +45,7 @@
 impl UsageSender {
     /// Creates a sender and its receiver.
     pub(crate) fn new() -> (Self, mpsc::Receiver<(VmName, UsageReport)>) {
-        let (sender, receiver) = mpsc::channel(USAGE_LIMIT);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_REPORTS);
         (Self(sender), receiver)
     }
 
@@ -89,9 +89,9 @@
 pub(crate) async fn watch_core(member: Arc<Member>) {
     let mut stopped = member.stopped.clone();
     let _ = stopped.wait_for(Option::is_some).await;
-    member.sessions.leave();
+    member.sessions.tell_entries_to_leave();
     tokio::time::sleep(SHARE_INTERVAL).await;
-    member.ended.cancel();
+    member.shutdown.cancel();
 }
 
 /// Keeps the membership as configured, while this member leads.
@@ -152,7 +152,7 @@
         for (vm, connection) in member.peers.connections() {
             forward_digest(&member, &mut numberings, vm, connection, &digest);
         }
-        member.sessions.digest.take(digest);
+        member.sessions.digest.apply(digest);
     }
 }
 
@@ -187,18 +187,18 @@
 }
 
 /// Adds up usage, distributes shares, detects lost entries and removes expired keys.
-pub(crate) async fn manage_entries(member: Arc<Member>, mut usage_receivers: UsageReceivers) {
+pub(crate) async fn manage_entries(member: Arc<Member>, mut receivers: UsageReceivers) {
     let mut distributor = ShareDistributor::default();
     let mut entry_monitor = EntryMonitor::default();
     let mut shares = interval(SHARE_INTERVAL);
     let mut expiry = interval(EXPIRE_INTERVAL);
     loop {
         tokio::select! {
-            Some((vm, report)) = usage_receivers.own.recv() => {
-                member.report.add(UnixMillis::now(), &report.stages);
+            Some((vm, report)) = receivers.own.recv() => {
+                member.usage_store.add(UnixMillis::now(), &report.stages);
                 forward_usage(&member, &mut distributor, vm, report);
             }
-            Some((vm, report)) = usage_receivers.forwarded.recv() => distributor.report(&vm, &report),
+            Some((vm, report)) = receivers.forwarded.recv() => distributor.report(&vm, &report),
             _ = shares.tick() => if member.leads() {
                 distributor.run(&member);
                 entry_monitor.declare_lost(&member).await;
@@ -211,18 +211,18 @@
 }
 
 /// Writes stage usage to the disk periodically.
-pub(crate) async fn save_report(member: Arc<Member>) {
+pub(crate) async fn save_usage(member: Arc<Member>) {
     let mut ticks = interval(SAVE_INTERVAL);
     loop {
         ticks.tick().await;
-        save_report_once(&member).await;
+        save_usage_once(&member).await;
     }
 }
 
 /// Writes stage usage to the disk on a thread that may block.
-pub(crate) async fn save_report_once(member: &Arc<Member>) {
+pub(crate) async fn save_usage_once(member: &Arc<Member>) {
     let member = Arc::clone(member);
-    let _ = tokio::task::spawn_blocking(move || member.report.save()).await;
+    let _ = tokio::task::spawn_blocking(move || member.usage_store.save()).await;
 }
 
 fn forward_usage(
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -10,21 +10,22 @@
 use types::{NodeId, OperatorName, UnixMillis, UpstreamName, VmName};
 
 use crate::member::Member;
-use crate::protocol::{Span, UseRow};
+use crate::protocol::{Span, UsageRow};
 use crate::reconciler;
-use crate::report::Rows;
 use crate::request::{LeaderRequest, RequestError};
 use crate::responses::{
-    ChangeBody, ChangeOutcome, FaultRow, HttpResponse, InForce, MarkBody, MemberAction, MemberBody,
-    RecordRow, Records, Refused, ReportRow, ReportRows, Started, TransferBody,
+    AuditResponse, ChangeBody, ChangeOutcome, FaultRow, HttpResponse, InitResponse, MarkBody,
+    MemberAction, MemberBody, RecordRow, RefusedChange, ServiceResponse, TransferBody,
+    UsageReportRow, UsageResponse,
 };
 use crate::status;
+use crate::usage_store::UsageRows;
 
 /// The timeout of a call; the command line tries another member after 4 s.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The maximum number of audit records in one response.
-const RECORD_LIMIT: usize = 500;
+const MAX_AUDIT_RECORDS: usize = 500;
 
 fn call_deadline() -> Instant {
     Instant::now() + CALL_TIMEOUT
@@ -53,13 +54,11 @@
     match member.init().await {
         Ok(unheard) => {
             if !unheard.is_empty() {
-                log::warn!(
-                    "started a cluster without the promise of members that could not be reached: {unheard:?}"
-                );
+                log::warn!("started a cluster without asking unreachable members: {unheard:?}");
             }
-            HttpResponse::json(StatusCode::OK, &Started { outcome: "started", unheard })
+            HttpResponse::json(StatusCode::OK, &InitResponse { outcome: "started", unheard })
         }
-        Err(why) => HttpResponse::outcome(StatusCode::CONFLICT, "refused", &why),
+        Err(reason) => HttpResponse::outcome(StatusCode::CONFLICT, "refused", &reason),
     }
 }
 
@@ -67,11 +66,11 @@
 pub(crate) async fn change(member: &Member, operator: OperatorName, body: &[u8]) -> HttpResponse {
     let body: ChangeBody = match parse(body) {
         Ok(body) => body,
-        Err(page) => return page,
+        Err(response) => return response,
     };
     if let Err(faults) = settings::check(&body.document) {
         let faults = faults.0.into_iter().map(FaultRow::from).collect();
-        let refused = Refused { outcome: "refused", faults };
+        let refused = RefusedChange { outcome: "refused", faults };
         return HttpResponse::json(StatusCode::UNPROCESSABLE_ENTITY, &refused);
     }
     let ChangeBody { id, base, document } = body;
@@ -120,7 +119,7 @@
     }
     let published = Arc::clone(&member.core.published().borrow());
     let (version, document) = (published.version, published.document.clone());
-    HttpResponse::json(StatusCode::OK, &InForce { version, document })
+    HttpResponse::json(StatusCode::OK, &ServiceResponse { version, document })
 }
 
 /// Returns what this member knows of members, entries and upstreams.
@@ -131,11 +130,11 @@
 /// Returns records of the audit trail, as applied by this member.
 pub(crate) async fn audit(member: &Member, query: &str) -> HttpResponse {
     let after = number(query, "after").unwrap_or(0);
-    let records = member.core.inspect(move |state| state.audit(after, RECORD_LIMIT)).await;
+    let records = member.core.inspect(move |state| state.audit(after, MAX_AUDIT_RECORDS)).await;
     match records {
         Some(records) => {
             let records = records.into_iter().map(RecordRow::from).collect();
-            HttpResponse::json(StatusCode::OK, &Records { records })
+            HttpResponse::json(StatusCode::OK, &AuditResponse { records })
         }
         None => HttpResponse::error(StatusCode::SERVICE_UNAVAILABLE, "member is busy or stopped"),
     }
@@ -145,14 +144,14 @@
 pub(crate) async fn mark(member: &Member, operator: OperatorName, body: &[u8]) -> HttpResponse {
     let body: MarkBody = match parse(body) {
         Ok(body) => body,
-        Err(page) => return page,
+        Err(response) => return response,
     };
     let MarkBody { id, upstream, leaving } = body;
     // Rejects unknown names, because a mark on a mistyped name would be accepted and have no
     // effect.
     if leaving && !names_upstream(member, &upstream).await {
-        let why = format!("the service in force names no upstream {upstream}");
-        return HttpResponse::outcome(StatusCode::UNPROCESSABLE_ENTITY, "refused", &why);
+        let reason = format!("the service in force names no upstream {upstream}");
+        return HttpResponse::outcome(StatusCode::UNPROCESSABLE_ENTITY, "refused", &reason);
     }
     let command = Command::Mark { id, upstream, leaving, operator, at: UnixMillis::now() };
     change_response(member.leader_client.command(command, call_deadline()).await.map(|it| it.1))
@@ -163,24 +162,24 @@
 pub(crate) async fn members(member: &Member, operator: OperatorName, body: &[u8]) -> HttpResponse {
     let MemberBody { action, vm } = match parse(body) {
         Ok(body) => body,
-        Err(page) => return page,
+        Err(response) => return response,
     };
     let view = member.core.view();
     if !view.membership.learners.is_empty() {
-        let why = "another change of members is under way";
-        return HttpResponse::outcome(StatusCode::CONFLICT, "refused", why);
+        let reason = "another change of members is under way";
+        return HttpResponse::outcome(StatusCode::CONFLICT, "refused", reason);
     }
     if !member.settings.members.iter().any(|it| it.vm == vm) {
-        let why = format!("the settings name no member on {vm}; add it there on every VM first");
-        return HttpResponse::outcome(StatusCode::CONFLICT, "refused", &why);
+        let reason = format!("the settings name no member on {vm}; add it there on every VM first");
+        return HttpResponse::outcome(StatusCode::CONFLICT, "refused", &reason);
     }
     let voter =
         view.membership.voters.keys().copied().find(|it| view.vm(*it).as_ref() == Some(&vm));
     let command = match action {
         MemberAction::Add => reconciler::add(vm, voter.unwrap_or_default(), operator),
         MemberAction::Remove if view.membership.voters.len() == 1 && voter.is_some() => {
-            let why = "the last voter cannot be removed";
-            return HttpResponse::outcome(StatusCode::CONFLICT, "refused", why);
+            let reason = "the last voter cannot be removed";
+            return HttpResponse::outcome(StatusCode::CONFLICT, "refused", reason);
         }
         MemberAction::Remove => reconciler::remove(vm, voter.unwrap_or(NodeId(0)), operator),
     };
@@ -194,7 +193,7 @@
 pub(crate) async fn transfer(member: &Member, body: &[u8]) -> HttpResponse {
     let body: TransferBody = match parse(if body.is_empty() { b"{}" } else { body }) {
         Ok(body) => body,
-        Err(page) => return page,
+        Err(response) => return response,
     };
     match member.leader_client.request(LeaderRequest::Transfer(body.vm), call_deadline()).await {
         Ok(_) => HttpResponse::outcome(StatusCode::OK, "accepted", "status shows when it is done"),
@@ -207,8 +206,8 @@
     let from = UnixMillis(number(query, "from").unwrap_or(0));
     let to = UnixMillis(number(query, "to").unwrap_or(u64::MAX));
     let span = Span { from, to };
-    let mut rows = Rows::default();
-    rows.extend(member.report.rows(span));
+    let mut rows = UsageRows::default();
+    rows.extend(member.usage_store.rows(span));
     let mut unheard: Vec<VmName> = Vec::new();
     let deadline = call_deadline();
     let others = member.peers.connected().into_iter().map(|(vm, _)| async move {
@@ -222,15 +221,15 @@
         }
     }
     let rows = rows.into_rows().into_iter().map(|it| with_cost(member, it)).collect();
-    HttpResponse::json(StatusCode::OK, &ReportRows { rows, unheard })
+    HttpResponse::json(StatusCode::OK, &UsageResponse { rows, unheard })
 }
 
-fn with_cost(member: &Member, row: UseRow) -> ReportRow {
+fn with_cost(member: &Member, row: UsageRow) -> UsageReportRow {
     let service = member.services.get(&member.settings.site);
     let pool = service.as_ref().and_then(|it| it.pools.get(&row.pool));
     let rate = pool.map_or(0.0, |it| it.cost.0);
     let seconds = (row.busy.0 + row.wasted.0) as f64 / 1e6;
-    ReportRow {
+    UsageReportRow {
         customer: row.customer.to_string(),
         stage: row.stage.to_string(),
         pool: row.pool.to_string(),
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -29,10 +29,10 @@
 use crate::metrics::Metrics;
 use crate::operators::Operators;
 use crate::peers::{Dialer, PeerOutbox, Peers};
-use crate::report::Report;
 use crate::request::LeaderRequest;
 use crate::server::HttpServer;
 use crate::sessions::Sessions;
+use crate::usage_store::UsageStore;
 
 /// How long a draining leader waits until another member leads. The target's disk has to write the
 /// entries in flight and then its vote, and the disk of another member has to write that member's
@@ -142,14 +142,14 @@
         announcements,
         leader_client,
         sessions,
-        report: Report::open(part.data.join(USAGE_FOLDER)),
+        usage_store: UsageStore::open(part.data.join(USAGE_FOLDER)),
         fleet,
         metrics,
         services: Services::default(),
         init_guard: InitGuard::default(),
         is_draining: AtomicBool::new(false),
         stopped: stopped.clone(),
-        ended: CancellationToken::new(),
+        shutdown: CancellationToken::new(),
         step_failure: ArcSwapOption::empty(),
         settings,
     });
@@ -178,7 +178,7 @@
         "entries",
         background::manage_entries(shared(), usage_receivers),
     ));
-    tasks.push(spawn_background(&member, "use by stage", background::save_report(shared())));
+    tasks.push(spawn_background(&member, "use by stage", background::save_usage(shared())));
     tasks.push(spawn_background(&member, "loads", inbound::take_loads(shared(), datagrams)));
     tasks.push(spawn_background(
         &member,
@@ -244,8 +244,8 @@
     pub async fn drain(mut self) {
         self.member.is_draining.store(true, Ordering::SeqCst);
         self.transfer_leadership().await;
-        self.member.sessions.leave();
-        background::save_report_once(&self.member).await;
+        self.member.sessions.tell_entries_to_leave();
+        background::save_usage_once(&self.member).await;
         let all_left = async {
             while !self.member.sessions.entries().is_empty() {
                 sleep(Duration::from_millis(20)).await;
@@ -265,7 +265,7 @@
         self.http.stop().await;
         self.member.core.stop();
         let _ = timeout(SHUTDOWN_TIMEOUT, self.stopped()).await;
-        self.member.ended.cancel();
+        self.member.shutdown.cancel();
         for task in self.tasks.drain(..) {
             task.abort();
             let _ = task.await;
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -23,8 +23,8 @@
 use tokio::sync::watch;
 use types::{LogIndex, NodeId, StepError, StepResult, VmName};
 
-use crate::folder::{Opened, TICK};
-use crate::handle::{CoreHandle, INPUT_LIMIT, Input};
+use crate::folder::{Opened, TICK_DURATION};
+use crate::handle::{CoreHandle, Input, MAX_QUEUED_INPUTS};
 use crate::identity::Identity;
 use crate::metrics::Metrics;
 use crate::pending::Pending;
@@ -33,7 +33,7 @@
 use crate::view::{Published, View};
 
 /// The maximum number of inputs taken in one iteration.
-const TURN_LIMIT: usize = 2_048;
+const MAX_INPUTS_PER_ITERATION: usize = 2_048;
 
 /// Sends messages to other nodes. Messages may be dropped.
 pub(crate) trait Outbox: Send + 'static {
@@ -80,7 +80,7 @@
     opened: Opened,
     ended: impl FnOnce(StepResult<()>) + Send + 'static,
 ) -> StepResult<CoreHandle> {
-    let (sender, inputs) = sync_channel(INPUT_LIMIT);
+    let (sender, inputs) = sync_channel(MAX_QUEUED_INPUTS);
     let wake = sender.clone();
     let journal = Journal::spawn(opened.store, move || {
         // If the queue is full, the loop runs anyway and checks for finished writes.
@@ -129,7 +129,7 @@
 
 impl<O: Outbox> Core<O> {
     fn run(&mut self) -> StepResult<()> {
-        let mut tick_at = Instant::now() + TICK;
+        let mut tick_at = Instant::now() + TICK_DURATION;
         self.process_ready()?;
         loop {
             let wait = tick_at.saturating_duration_since(Instant::now());
@@ -139,7 +139,7 @@
             self.finish_writes()?;
             if Instant::now() >= tick_at {
                 self.node.tick();
-                tick_at = Instant::now() + TICK;
+                tick_at = Instant::now() + TICK_DURATION;
             }
             self.process_ready()?;
         }
@@ -156,7 +156,7 @@
         if !self.handle_input(first)? {
             return Ok(false);
         }
-        for _ in 1..TURN_LIMIT {
+        for _ in 1..MAX_INPUTS_PER_ITERATION {
             let Ok(input) = self.inputs.try_recv() else {
                 return Ok(true);
             };
--- a/crates/control/src/core/requests.rs
+++ b/crates/control/src/core/requests.rs
@@ -4,12 +4,12 @@
 
 use super::{Core, Outbox};
 use crate::address::Address;
-use crate::pending::{PENDING_LIMIT, respond};
+use crate::pending::{MAX_PENDING_REQUESTS, respond};
 use crate::request::{LeaderRequest, LeaderResponse, RequestError, Responder};
 
 impl<O: Outbox> Core<O> {
     pub(super) fn handle_request(&mut self, request: LeaderRequest, responder: Responder) {
-        if self.pending.len() + self.reads.len() >= PENDING_LIMIT {
+        if self.pending.len() + self.reads.len() >= MAX_PENDING_REQUESTS {
             return respond(responder, Err(RequestError::NotRun("member is busy".to_owned())));
         }
         match request {
--- a/crates/control/src/digest.rs
+++ b/crates/control/src/digest.rs
@@ -7,7 +7,7 @@
 use types::{Digest, UpstreamLoad, UpstreamName};
 
 /// The number of deltas by which a session may lag before it is sent the full table again.
-const LAG_LIMIT: usize = 64;
+const MAX_QUEUED_DELTAS: usize = 64;
 
 /// The latest load of every upstream, and a channel for the deltas.
 pub(crate) struct DigestTable {
@@ -24,7 +24,7 @@
 
 impl DigestTable {
     pub(crate) fn new() -> Self {
-        Self { table: Mutex::default(), deltas: broadcast::channel(LAG_LIMIT).0 }
+        Self { table: Mutex::default(), deltas: broadcast::channel(MAX_QUEUED_DELTAS).0 }
     }
 
     fn lock(&self) -> MutexGuard<'_, Table> {
@@ -33,7 +33,7 @@
 
     /// Applies a delta from the leader and passes it on with this process's own sequence number,
     /// because the sequence numbers of two leaders are not comparable.
-    pub(crate) fn take(&self, digest: Digest) {
+    pub(crate) fn apply(&self, digest: Digest) {
         let delta = {
             let mut table = self.lock();
             table.sequence += 1;
@@ -52,7 +52,7 @@
     }
 
     /// Returns the full table and a receiver of the deltas that follow it.
-    pub(crate) fn follow(&self) -> (Digest, broadcast::Receiver<Arc<Digest>>) {
+    pub(crate) fn subscribe(&self) -> (Digest, broadcast::Receiver<Arc<Digest>>) {
         let table = self.lock();
         let loads = table.loads.values().cloned().collect();
         let full = Digest { sequence: table.sequence, loads, entries: table.entries };
--- a/crates/control/src/entry_monitor.rs
+++ b/crates/control/src/entry_monitor.rs
@@ -75,7 +75,8 @@
         for (vm, owner) in
             self.lost(view.term, Instant::now(), &incarnations, &entries, silence_timeout)
         {
-            log::warn!(vm:% = vm, owner:% = owner; "declaring an entry lost: it has had no session for too long");
+            log::warn!(vm:% = vm, owner:% = owner;
+                "declaring an entry lost: it has had no session for too long");
             let deadline = tokio::time::Instant::now() + COMMAND_TIMEOUT;
             if let Err(e) =
                 member.leader_client.command(Command::Lost { vm, owner }, deadline).await
--- a/crates/control/src/folder/mod.rs
+++ b/crates/control/src/folder/mod.rs
@@ -12,7 +12,7 @@
 use crate::state_machine::StateMachine;
 
 /// The duration of one tick of the consensus node.
-pub(crate) const TICK: Duration = Duration::from_millis(50);
+pub(crate) const TICK_DURATION: Duration = Duration::from_millis(50);
 
 /// The shortest election timeout, in ticks. It is far longer than a usual sync, and short enough
 /// that the cluster recovers from the loss of a leader within two seconds.
@@ -33,13 +33,13 @@
 const TRANSFER_TICKS: u32 = 300;
 
 /// The maximum number of entries in one message.
-const MAX_ENTRIES: usize = 1024;
+const MAX_ENTRIES_PER_MESSAGE: usize = 1024;
 
 /// The maximum size of the entries in one message, in bytes.
-const MAX_BYTES: usize = 1 << 20;
+const MAX_BYTES_PER_MESSAGE: usize = 1 << 20;
 
 /// The size of one part of a snapshot, in bytes.
-const SNAPSHOT_PART: usize = 256 << 10;
+const SNAPSHOT_PART_BYTES: usize = 256 << 10;
 
 /// The contents of an opened data folder.
 pub(crate) struct Opened {
@@ -65,9 +65,9 @@
     let empty = restored.snapshot.is_none() && restored.entries.is_empty();
     if empty && identity.as_ref().is_some_and(|it| it.founder) {
         // Starting without the log would create a second cluster with the same id.
-        let why = "the folder that started the cluster holds no log: init was cut short, or the \
+        let reason = "the folder that started the cluster holds no log: init was cut short, or the \
                    log is lost; empty the folder and start again";
-        return Err(StepError::new("open data folder", why).at(&path));
+        return Err(StepError::new("open data folder", reason).at(&path));
     }
     let id = identity.as_ref().map_or_else(random_node_id, |it| it.node);
     let machine = match &restored.snapshot {
@@ -89,9 +89,9 @@
         lag_ticks: LAG_TICKS,
         stall_ticks: STALL_TICKS,
         transfer_ticks: TRANSFER_TICKS,
-        max_entries: MAX_ENTRIES,
-        max_bytes: MAX_BYTES,
-        snapshot_part: SNAPSHOT_PART,
+        max_entries: MAX_ENTRIES_PER_MESSAGE,
+        max_bytes: MAX_BYTES_PER_MESSAGE,
+        snapshot_part: SNAPSHOT_PART_BYTES,
         seed: rand::random(),
     }
 }
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -15,7 +15,7 @@
 use crate::view::{Published, View};
 
 /// The maximum number of inputs that wait for the loop.
-pub(crate) const INPUT_LIMIT: usize = 16_384;
+pub(crate) const MAX_QUEUED_INPUTS: usize = 16_384;
 
 /// An input of the core loop.
 pub(crate) enum Input {
--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -39,12 +39,12 @@
         let identity: Self =
             postcard::from_bytes(bytes).map_err(|e| StepError::new("decode identity", e))?;
         if identity.vm != *vm {
-            let why = format!(
+            let reason = format!(
                 "the data folder belongs to {}, the settings say {vm}; correct the settings, or \
                  name an empty folder",
                 identity.vm
             );
-            return Err(StepError::new("read identity", why));
+            return Err(StepError::new("read identity", reason));
         }
         Ok(identity)
     }
--- a/crates/control/src/inbound.rs
+++ b/crates/control/src/inbound.rs
@@ -13,7 +13,7 @@
 use crate::request::RequestError;
 
 /// The maximum number of concurrent requests of one member.
-const MEMBER_REQUEST_LIMIT: usize = 4096;
+const MAX_MEMBER_REQUESTS: usize = 4096;
 
 /// Accepts connections until the listener stops.
 pub(crate) async fn accept(member: Arc<Member>, usage_sender: UsageSender, mut listener: Listener) {
@@ -43,7 +43,7 @@
 
 /// Runs a connection's task until it or the member ends.
 fn spawn(member: &Member, connection: impl Future<Output = ()> + Send + 'static) {
-    let ended = member.ended.clone();
+    let ended = member.shutdown.clone();
     tokio::spawn(async move {
         tokio::select! {
             () = connection => {}
@@ -72,8 +72,8 @@
 ) -> StepResult<()> {
     let hello = connection.hello().clone();
     let (sender, mut receiver) = connection.split::<MemberReply, MemberMessage>();
-    let (replies, mut queue) = mpsc::channel(MEMBER_REQUEST_LIMIT);
-    let permits = Arc::new(Semaphore::new(MEMBER_REQUEST_LIMIT));
+    let (replies, mut queue) = mpsc::channel(MAX_MEMBER_REQUESTS);
+    let permits = Arc::new(Semaphore::new(MAX_MEMBER_REQUESTS));
     let mut inbound = Inbound {
         member,
         usage_sender,
@@ -109,7 +109,7 @@
                 let _ = self.replies.try_send(MemberReply { ticket, reply });
             }
             MemberMessage::Report { ticket, span } => {
-                let reply = Reply::Report(self.member.report.rows(span));
+                let reply = Reply::Report(self.member.usage_store.rows(span));
                 let _ = self.replies.try_send(MemberReply { ticket, reply });
             }
             MemberMessage::LeaderRequest { ticket, .. } if !self.is_same_cluster() => {
@@ -135,10 +135,11 @@
             MemberMessage::Loads(numbered) => {
                 let Some(digest) = self.load_names.decode(numbered) else {
                     let dropped = self.load_names.dropped();
-                    return log::warn!(vm:% = self.hello.vm, dropped; "dropped a digest that refers to a lost one");
+                    return log::warn!(vm:% = self.hello.vm, dropped;
+                        "dropped a digest that refers to a lost one");
                 };
                 self.member.fleet.heard(&digest);
-                self.member.sessions.digest.take(digest);
+                self.member.sessions.digest.apply(digest);
             }
             MemberMessage::Shares { term, is_full, shares } => {
                 self.member.sessions.shares.update(term, is_full, shares);
--- a/crates/control/src/leader_client/mod.rs
+++ b/crates/control/src/leader_client/mod.rs
@@ -32,7 +32,7 @@
 }
 
 impl LeaderClient {
-    /// Retries the request until it has a response or `deadline` has passed.
+    /// Sends a request and retries it until it has a response or `deadline` has passed.
     ///
     /// An attempt that ended uncertain may still take effect at any later time. The result
     /// therefore stays uncertain even if a later attempt certainly did not run.
@@ -125,13 +125,18 @@
         let is_idempotent = request.is_idempotent();
         if view.leads() {
             return self
-                .wait(self.core.request(request), leader_before, is_idempotent, deadline)
+                .wait_while_leading(
+                    self.core.request(request),
+                    leader_before,
+                    is_idempotent,
+                    deadline,
+                )
                 .await;
         }
         let leader_vm = view.leader.and_then(|it| view.vm(it));
         match leader_vm.or_else(|| self.peers.leader()) {
             Some(vm) if vm != self.vm => {
-                self.wait(
+                self.wait_while_leading(
                     self.peers.request(&vm, request, deadline),
                     leader_before,
                     is_idempotent,
@@ -146,7 +151,7 @@
     /// Waits for the response as long as the addressed leader keeps leading. Its disk or the disks
     /// of the other members may be slow, and a repeated request would only add to what they must
     /// write.
-    async fn wait(
+    async fn wait_while_leading(
         &self,
         answer: impl Future<Output = LeaderResult>,
         leader_before: KnownLeader,
@@ -161,9 +166,9 @@
                 return answer;
             }
             let leader_now = KnownLeader::of(&self.core.view());
-            let leader_changed = leader_now != leader_before
+            let should_abandon = leader_now != leader_before
                 && (leader_now.leader.is_some() && is_idempotent || Instant::now() >= min_end);
-            if leader_changed || Instant::now() >= deadline {
+            if should_abandon || Instant::now() >= deadline {
                 return Err(RequestError::Uncertain("no quorum committed it in time".to_owned()));
             }
         }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -31,7 +31,6 @@
 mod protocol;
 mod push;
 mod reconciler;
-mod report;
 pub mod request;
 mod responses;
 mod server;
@@ -43,6 +42,7 @@
 mod state_machine;
 mod status;
 mod usage_files;
+mod usage_store;
 mod view;
 
 pub use address::Address;
--- a/crates/control/src/member.rs
+++ b/crates/control/src/member.rs
@@ -20,12 +20,12 @@
 use crate::metrics::Metrics;
 use crate::peers::{NoReply, Peers};
 use crate::protocol::{Announce, ClusterId, EntryStatus};
-use crate::report::Report;
 use crate::sessions::Sessions;
+use crate::usage_store::UsageStore;
 use crate::view::Published;
 
 /// How long a member's promise not to start a cluster lasts.
-const RESERVATION: Duration = Duration::from_secs(10);
+const RESERVATION_DURATION: Duration = Duration::from_secs(10);
 
 /// The delay before a member that is not connected yet is asked again.
 const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -43,7 +43,7 @@
     pub(crate) announcements: Arc<PeerAnnouncements>,
     pub(crate) leader_client: LeaderClient,
     pub(crate) sessions: Arc<Sessions>,
-    pub(crate) report: Report,
+    pub(crate) usage_store: UsageStore,
     pub(crate) fleet: Fleet,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) services: Services,
@@ -52,7 +52,7 @@
     /// The reason why the core loop ended, once it has.
     pub(crate) stopped: watch::Receiver<Option<String>>,
     /// Cancelled to end the accepted connections.
-    pub(crate) ended: CancellationToken,
+    pub(crate) shutdown: CancellationToken,
     /// The reason why the latest membership change failed, until one succeeds.
     pub(crate) step_failure: ArcSwapOption<String>,
 }
@@ -105,18 +105,18 @@
     ///
     /// With fewer promises, a cluster could already exist among the members that did not reply, or
     /// be started there at the same time, and operators would see two different services. Any two
-    /// majorities share a member, and a member gives its promise to one of them only.
+    /// majorities share a member, whose promise is meant for only one of them.
     async fn reserve_and_start(&self) -> Result<Vec<VmName>, String> {
         let deadline = tokio::time::Instant::now() + RESERVE_TIMEOUT;
         let requests = self.peers.connected().into_iter().map(|(vm, _)| async move {
-            let reply = self.reserve_at(&vm, deadline).await;
+            let reply = self.request_reservation(&vm, deadline).await;
             (vm, reply)
         });
         let mut unheard = Vec::new();
         for (vm, reply) in futures_util::future::join_all(requests).await {
             match reply {
                 Some(Ok(())) => {}
-                Some(Err(why)) => return Err(format!("{vm}: {why}")),
+                Some(Err(reason)) => return Err(format!("{vm}: {reason}")),
                 None => unheard.push(vm),
             }
         }
@@ -132,7 +132,7 @@
     }
 
     /// Asks one member until it replies. Returns `None` if it does not.
-    async fn reserve_at(
+    async fn request_reservation(
         &self,
         vm: &VmName,
         deadline: tokio::time::Instant,
@@ -171,7 +171,7 @@
 }
 
 /// Prevents two members from each starting a cluster at the same time. A member that is starting
-/// one, or has promised another member not to, gives no promise or does not start.
+/// one refuses to promise not to, and a member that has given a promise refuses to start one.
 #[derive(Default)]
 pub(crate) struct InitGuard {
     in_progress: AtomicBool,
@@ -181,7 +181,7 @@
 impl InitGuard {
     fn is_reserved(&self) -> bool {
         let reserved = self.reserved.lock().unwrap_or_else(PoisonError::into_inner);
-        reserved.is_some_and(|it| it.elapsed() < RESERVATION)
+        reserved.is_some_and(|it| it.elapsed() < RESERVATION_DURATION)
     }
 
     fn begin(&self) -> Result<(), String> {
@@ -223,7 +223,7 @@
         }
         // The document was checked before it was proposed, possibly by another release.
         Err(e) => {
-            log::error!(site:% = site; "the service version cannot be resolved for this site, which keeps no service: {e}");
+            log::error!(site:% = site; "the service cannot be resolved for this site: {e}");
             None
         }
     }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -12,7 +12,7 @@
 use crate::responses::HttpResponse;
 
 /// The maximum size of a body, in bytes; a whole service document fits.
-pub(crate) const BODY_LIMIT: usize = 8 << 20;
+pub(crate) const MAX_BODY_BYTES: usize = 8 << 20;
 
 /// One API call, read in full.
 pub(crate) struct Call {
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -16,7 +16,7 @@
 
 use crate::announcements::PeerAnnouncements;
 use crate::core::Outbox;
-use crate::protocol::{Announce, MemberMessage, MemberReply, Reply, Span, UseRow};
+use crate::protocol::{Announce, MemberMessage, MemberReply, Reply, Span, UsageRow};
 use crate::request::{LeaderRequest, LeaderResult, RequestError};
 
 /// The shortest delay before the next attempt to connect. It doubles up to [`MAX_BACKOFF`].
@@ -152,7 +152,7 @@
         vm: &VmName,
         span: Span,
         deadline: Instant,
-    ) -> Result<Vec<UseRow>, NoReply> {
+    ) -> Result<Vec<UsageRow>, NoReply> {
         match self.call(vm, deadline, |ticket| MemberMessage::Report { ticket, span }).await? {
             Reply::Report(rows) => Ok(rows),
             _ => Err(NoReply::Lost),
@@ -223,7 +223,8 @@
         wire::connect(link.address, &dialer.secret, dialer.me.clone(), Kind::Member).await?;
     if connection.hello().vm != *vm {
         let found = connection.hello().vm.clone();
-        log::error!(vm:% = vm, found:% = found; "another VM answered at the address of a member; the settings name a wrong address");
+        log::error!(vm:% = vm, found:% = found;
+            "another VM answers at this member's address; check the addresses in the settings");
         return Ok(());
     }
     let (sender, mut receiver) = connection.split::<MemberMessage, MemberReply>();
--- a/crates/control/src/pending/mod.rs
+++ b/crates/control/src/pending/mod.rs
@@ -8,7 +8,7 @@
 
 /// The maximum number of proposals and reads that wait at once; further ones are rejected as not
 /// run.
-pub(crate) const PENDING_LIMIT: usize = 8192;
+pub(crate) const MAX_PENDING_REQUESTS: usize = 8192;
 
 /// Proposals by log index.
 ///
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -41,7 +41,7 @@
     /// Whether the entry has reported that it drains.
     pub draining: bool,
     /// A version that the entry did not install, and the reason.
-    pub behind: Option<(Version, String)>,
+    pub rejected: Option<(Version, String)>,
 }
 
 /// A member's announcement of itself, sent at the start of a connection and then twice a second.
@@ -128,7 +128,7 @@
     /// The reply to `Reserve`; an error contains the reason for the refusal.
     Reserve(Result<(), String>),
     /// The reply to `Report`.
-    Report(Vec<UseRow>),
+    Report(Vec<UsageRow>),
 }
 
 /// A span of wall clock time, including its start and excluding its end.
@@ -142,7 +142,7 @@
 
 /// The usage of one customer's stage in one pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct UseRow {
+pub(crate) struct UsageRow {
     /// The customer.
     pub customer: CustomerName,
     /// The stage.
--- a/crates/control/src/push.rs
+++ b/crates/control/src/push.rs
@@ -47,9 +47,9 @@
         need_full: Arc<Notify>,
     ) -> StepResult<()> {
         let mut published = self.sessions.leader_client.core.published();
-        let mut leave = self.sessions.leaving();
+        let mut leave = self.sessions.subscribe_leave();
         let mut shares = self.sessions.shares.subscribe();
-        let (table, mut deltas) = self.sessions.digest.follow();
+        let (table, mut deltas) = self.sessions.digest.subscribe();
         published.mark_changed();
         shares.mark_changed();
         leave.mark_changed();
@@ -65,14 +65,17 @@
                 delta = deltas.recv() => match delta {
                     Ok(delta) => Some(ControlMessage::Loads(self.numbers.encode(&delta))),
                     Err(RecvError::Lagged(_)) => {
-                        let (table, again) = self.sessions.digest.follow();
+                        let (table, again) = self.sessions.digest.subscribe();
                         deltas = again;
                         Some(ControlMessage::Loads(self.numbers.encode(&table)))
                     }
                     Err(RecvError::Closed) => return Ok(()),
                 },
                 Ok(()) = shares.changed() => {
-                    let changes = self.sessions.shares.changed_since(&self.vm, &mut self.sent_shares);
+                    let changes = self
+                        .sessions
+                        .shares
+                        .changed_since(&self.vm, &mut self.sent_shares);
                     (!changes.is_empty()).then_some(ControlMessage::Shares(changes))
                 }
                 Ok(()) = leave.changed() => {
--- a/crates/control/src/request.rs
+++ b/crates/control/src/request.rs
@@ -63,9 +63,9 @@
 impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RequestError::NotRun(why) => write!(f, "not run: {why}"),
-            RequestError::Refused(why) => write!(f, "refused: {why}"),
-            RequestError::Uncertain(why) => write!(f, "it may have run: {why}"),
+            RequestError::NotRun(reason) => write!(f, "not run: {reason}"),
+            RequestError::Refused(reason) => write!(f, "refused: {reason}"),
+            RequestError::Uncertain(reason) => write!(f, "it may have run: {reason}"),
         }
     }
 }
--- a/crates/control/src/responses.rs
+++ b/crates/control/src/responses.rs
@@ -55,7 +55,7 @@
 
 /// The response to `init`.
 #[derive(Serialize)]
-pub(crate) struct Started {
+pub(crate) struct InitResponse {
     pub(crate) outcome: &'static str,
     /// The members that could not be asked whether they belong to a cluster.
     pub(crate) unheard: Vec<VmName>,
@@ -82,7 +82,7 @@
 
 /// The response to a change whose document has errors.
 #[derive(Serialize)]
-pub(crate) struct Refused {
+pub(crate) struct RefusedChange {
     pub(crate) outcome: &'static str,
     pub(crate) faults: Vec<FaultRow>,
 }
@@ -104,7 +104,7 @@
 
 /// The service in force.
 #[derive(Serialize)]
-pub(crate) struct InForce {
+pub(crate) struct ServiceResponse {
     pub(crate) version: Version,
     pub(crate) document: Arc<Document>,
 }
@@ -193,7 +193,7 @@
 
 /// Records of the audit trail.
 #[derive(Serialize)]
-pub(crate) struct Records {
+pub(crate) struct AuditResponse {
     pub(crate) records: Vec<RecordRow>,
 }
 
@@ -231,15 +231,15 @@
 
 /// The response to a usage report.
 #[derive(Serialize)]
-pub(crate) struct ReportRows {
-    pub(crate) rows: Vec<ReportRow>,
+pub(crate) struct UsageResponse {
+    pub(crate) rows: Vec<UsageReportRow>,
     /// The members that did not reply.
     pub(crate) unheard: Vec<VmName>,
 }
 
 /// The usage of one customer's stage in one pool.
 #[derive(Serialize)]
-pub(crate) struct ReportRow {
+pub(crate) struct UsageReportRow {
     pub(crate) customer: String,
     pub(crate) stage: String,
     pub(crate) pool: String,
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -16,7 +16,7 @@
 use xitca_web::http::WebResponse;
 use xitca_web::{App, WebContext};
 
-use crate::operators::{BODY_LIMIT, Call, Operators};
+use crate::operators::{Call, MAX_BODY_BYTES, Operators};
 use crate::responses::HttpResponse;
 
 /// The timeout for receiving a body.
@@ -92,13 +92,13 @@
 }
 
 async fn serve(ctx: &WebContext<'_, Arc<Operators>>) -> Result<WebResponse, Infallible> {
-    let page = match read(ctx).await {
+    let result = match read(ctx).await {
         Ok(call) => ctx.state().answer(call).await,
-        Err(page) => page,
+        Err(error) => error,
     };
-    let mut response = WebResponse::new(ResponseBody::bytes(page.body));
-    *response.status_mut() = page.status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(page.kind));
+    let mut response = WebResponse::new(ResponseBody::bytes(result.body));
+    *response.status_mut() = result.status;
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(result.kind));
     Ok(response)
 }
 
@@ -132,8 +132,8 @@
             HttpResponse::error(StatusCode::BAD_REQUEST, &format!("read body: {e}"))
         })?;
         bytes.extend_from_slice(part.as_ref());
-        if bytes.len() > BODY_LIMIT {
-            let why = format!("the body exceeds {BODY_LIMIT} bytes");
+        if bytes.len() > MAX_BODY_BYTES {
+            let why = format!("the body exceeds {MAX_BODY_BYTES} bytes");
             return Err(HttpResponse::error(StatusCode::PAYLOAD_TOO_LARGE, &why));
         }
     }
--- a/crates/control/src/session.rs
+++ b/crates/control/src/session.rs
@@ -21,10 +21,10 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The maximum number of concurrent requests of one entry; further ones wait on its connection.
-const REQUEST_LIMIT: usize = 1024;
+const MAX_CONCURRENT_REQUESTS: usize = 1024;
 
 /// The maximum number of responses that wait for the connection.
-const ANSWER_LIMIT: usize = 2 * REQUEST_LIMIT;
+const MAX_QUEUED_RESPONSES: usize = 2 * MAX_CONCURRENT_REQUESTS;
 
 /// How often a session checks whether the replicated state still lists its entry.
 const LIVE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -71,7 +71,7 @@
         sender: wire::Sender<ControlMessage>,
         mut receiver: wire::Receiver<EntryMessage>,
     ) -> StepResult<()> {
-        let (responses, queue) = mpsc::channel(ANSWER_LIMIT);
+        let (responses, queue) = mpsc::channel(MAX_QUEUED_RESPONSES);
         let (entered_to, entered) = watch::channel(false);
         let leave = responses.clone();
         let requests = Requests { sessions: Arc::clone(&self.sessions), responses, entered };
@@ -92,7 +92,7 @@
         receiver: &mut wire::Receiver<EntryMessage>,
         requests: Requests,
     ) -> StepResult<()> {
-        let permits = Arc::new(Semaphore::new(REQUEST_LIMIT));
+        let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_REQUESTS));
         while let Some(message) = receiver.recv().await? {
             match message {
                 EntryMessage::Follow { .. } => {}
@@ -102,12 +102,12 @@
                     let _ = self.sessions.usage.try_send((self.vm.clone(), report));
                 }
                 EntryMessage::NeedWhole => self.need_full.notify_one(),
-                EntryMessage::Draining => self.sessions.draining(self.number),
+                EntryMessage::Draining => self.sessions.record_draining(self.number),
                 EntryMessage::Behind { version, why } => {
-                    self.sessions.behind(self.number, version, why);
+                    self.sessions.record_rejected_version(self.number, version, why);
                 }
                 EntryMessage::Confirm { ticket, have } => {
-                    self.sessions.confirm_requested(self.number, have);
+                    self.sessions.record_confirm_request(self.number, have);
                     spawn(&permits, requests.clone(), |it| it.confirm(ticket)).await;
                 }
                 other => spawn(&permits, requests.clone(), |it| it.serve(other)).await,
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -29,7 +29,7 @@
     /// Receives the entries' usage reports.
     pub(crate) usage: mpsc::Sender<(VmName, UsageReport)>,
     leave: watch::Sender<bool>,
-    open: Mutex<BTreeMap<u64, OpenSession>>,
+    open_sessions: Mutex<BTreeMap<u64, OpenSession>>,
     next_number: AtomicU64,
     /// Incremented when the status of any entry changes in more than its age.
     revision: AtomicU64,
@@ -43,7 +43,7 @@
     version: Version,
     confirm_requested: Option<Instant>,
     draining: bool,
-    behind: Option<(Version, String)>,
+    rejected: Option<(Version, String)>,
 }
 
 impl Sessions {
@@ -58,19 +58,19 @@
             shares: ShareStore::default(),
             usage,
             leave: watch::channel(false).0,
-            open: Mutex::default(),
+            open_sessions: Mutex::default(),
             next_number: AtomicU64::new(1),
             revision: AtomicU64::new(0),
         }
     }
 
     /// Tells every entry to follow another member.
-    pub(crate) fn leave(&self) {
+    pub(crate) fn tell_entries_to_leave(&self) {
         self.leave.send_replace(true);
     }
 
     /// Returns a receiver that turns `true` when this member drains.
-    pub(crate) fn leaving(&self) -> watch::Receiver<bool> {
+    pub(crate) fn subscribe_leave(&self) -> watch::Receiver<bool> {
         self.leave.subscribe()
     }
 
@@ -79,7 +79,7 @@
         self.revision.load(Ordering::Relaxed)
     }
 
-    fn change(&self) {
+    fn increment_revision(&self) {
         self.revision.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -92,7 +92,7 @@
             version: it.version,
             age_ms: it.confirm_requested.map(|at| at.elapsed().as_millis() as u64),
             draining: it.draining,
-            behind: it.behind.clone(),
+            rejected: it.rejected.clone(),
         };
         self.lock().values().map(seen).collect()
     }
@@ -103,9 +103,9 @@
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let ended = Arc::clone(&self).follow(number, connection).await;
         self.lock().remove(&number);
-        self.change();
+        self.increment_revision();
         match ended {
-            Ok(()) => log::info!(vm:% = hello.vm; "the entry closed its session"),
+            Ok(()) => log::info!(vm:% = hello.vm; "the session of an entry ended"),
             Err(e) => log::info!(vm:% = hello.vm; "the session of an entry failed: {e}"),
         }
     }
@@ -115,11 +115,13 @@
         let (sender, mut receiver) = connection.split::<ControlMessage, EntryMessage>();
         let first = tokio::time::timeout(FOLLOW_TIMEOUT, receiver.recv()).await;
         let Ok(Ok(Some(EntryMessage::Follow { vm, site, owner, have }))) = first else {
-            log::warn!(vm:% = hello.vm; "closed the connection of an entry that did not start a session in time");
+            log::warn!(vm:% = hello.vm;
+                "closed a connection whose first message did not start a session");
             return Ok(());
         };
         if vm != hello.vm || owner.0 != hello.node {
-            log::warn!(vm:% = hello.vm, named:% = vm; "closed the connection of an entry that claims another identity than it authenticated with");
+            log::warn!(vm:% = hello.vm, named:% = vm;
+                "closed a connection whose entry claims an identity other than its own");
             return Ok(());
         }
         log::info!(vm:% = vm, site:% = site, have = have.0; "an entry started a session");
@@ -130,10 +132,10 @@
             version: have,
             confirm_requested: None,
             draining: false,
-            behind: None,
+            rejected: None,
         };
         self.lock().insert(number, open);
-        self.change();
+        self.increment_revision();
         // Records the entry now, because a session that ends before the next announcement would
         // otherwise leave no trace.
         self.history.record(&self.entries());
@@ -148,33 +150,33 @@
     }
 
     /// Records that the entry requested a confirmation and which version it has.
-    pub(crate) fn confirm_requested(&self, number: u64, have: Version) {
+    pub(crate) fn record_confirm_request(&self, number: u64, have: Version) {
         let known = self.lock().get_mut(&number).map(|open| {
             open.confirm_requested = Some(Instant::now());
             std::mem::replace(&mut open.version, have)
         });
         if known != Some(have) {
-            self.change();
+            self.increment_revision();
         }
     }
 
     /// Records that the entry drains.
-    pub(crate) fn draining(&self, number: u64) {
+    pub(crate) fn record_draining(&self, number: u64) {
         if let Some(open) = self.lock().get_mut(&number) {
             open.draining = true;
         }
-        self.change();
+        self.increment_revision();
     }
 
     /// Records that the entry did not install a version, and the reason.
-    pub(crate) fn behind(&self, number: u64, version: Version, why: String) {
+    pub(crate) fn record_rejected_version(&self, number: u64, version: Version, why: String) {
         if let Some(open) = self.lock().get_mut(&number) {
-            open.behind = Some((version, why));
+            open.rejected = Some((version, why));
         }
-        self.change();
+        self.increment_revision();
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<u64, OpenSession>> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+        self.open_sessions.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -12,7 +12,7 @@
 use crate::view::View;
 
 /// Entries that were last seen longer ago are not listed.
-const ENTRY_HISTORY_TIME: Duration = Duration::from_secs(3600);
+const ENTRY_HISTORY_DURATION: Duration = Duration::from_secs(3600);
 
 /// Returns what this member knows about itself, the members, the entries and the upstreams.
 pub(crate) fn status(member: &Member) -> Status {
@@ -55,7 +55,7 @@
 fn entries(member: &Member, view: &View) -> Vec<EntryRow> {
     let mut latest: BTreeMap<VmName, (EntryStatus, Option<Duration>)> = BTreeMap::new();
     for (entry, ago) in member.sessions.history.all() {
-        if ago < ENTRY_HISTORY_TIME {
+        if ago < ENTRY_HISTORY_DURATION {
             latest.insert(entry.vm.clone(), (entry, Some(ago)));
         }
     }
@@ -99,7 +99,7 @@
         }
         Some(_) => {}
     }
-    match &entry.behind {
+    match &entry.rejected {
         Some((version, reason)) if *version > entry.version => {
             why.push(format!("it keeps version {version} out: {reason}"));
         }
@@ -177,7 +177,7 @@
         .history
         .all()
         .into_iter()
-        .filter(|it| it.1 > SILENCE_TIMEOUT && it.1 < ENTRY_HISTORY_TIME);
+        .filter(|it| it.1 > SILENCE_TIMEOUT && it.1 < ENTRY_HISTORY_DURATION);
     for (entry, ago) in lost {
         why.push(format!("entry {} was last heard {} s ago", entry.vm, ago.as_secs()));
     }
--- a/crates/control/src/usage_files.rs
+++ b/crates/control/src/usage_files.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use types::{StepError, StepResult};
 
-use crate::protocol::UseRow;
+use crate::protocol::UsageRow;
 
 /// The extension of a file that is being written.
 const TEMPORARY_EXTENSION: &str = "new";
@@ -18,7 +18,7 @@
     /// The start of the hour, in milliseconds since the Unix epoch.
     pub(crate) start: u64,
     /// The buckets, by their starts.
-    pub(crate) buckets: Vec<(u64, Vec<UseRow>)>,
+    pub(crate) buckets: Vec<(u64, Vec<UsageRow>)>,
 }
 
 /// The folder that contains the files.
--- a/crates/control/src/report.rs
+++ b/crates/control/src/usage_store.rs
@@ -11,7 +11,7 @@
 use types::{CustomerName, Micros, PoolName, StageName, Tokens, UnixMillis};
 use wire::session::StageUse;
 
-use crate::protocol::{Span, UseRow};
+use crate::protocol::{Span, UsageRow};
 use crate::usage_files::{HourFile, UsageFiles};
 
 /// The length of one bucket, in milliseconds.
@@ -21,13 +21,13 @@
 const HOUR_MS: u64 = 60 * BUCKET_MS;
 
 /// The maximum number of rows kept; beyond it the oldest buckets are dropped.
-const MAX_ROWS: usize = 200_000;
+const MAX_STORED_ROWS: usize = 200_000;
 
-type Key = (CustomerName, StageName, PoolName);
+type UsageKey = (CustomerName, StageName, PoolName);
 
 /// The totals of one customer's stage in one pool.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sums {
+struct UsageTotals {
     calls: u64,
     busy: u64,
     tokens: u64,
@@ -35,7 +35,7 @@
 }
 
 /// The stage usage of this member's entries.
-pub(crate) struct Report {
+pub(crate) struct UsageStore {
     inner: Mutex<BucketTable>,
     /// The lock also prevents two concurrent calls of `save`.
     files: Mutex<UsageFiles>,
@@ -43,21 +43,21 @@
 
 #[derive(Default)]
 struct BucketTable {
-    buckets: BTreeMap<u64, BTreeMap<Key, Sums>>,
+    buckets: BTreeMap<u64, BTreeMap<UsageKey, UsageTotals>>,
     rows: usize,
     /// The starts of the hours whose files must be rewritten.
     unsaved_hours: BTreeSet<u64>,
 }
 
-impl Report {
+impl UsageStore {
     /// Loads the usage stored in `folder`.
     pub(crate) fn open(folder: PathBuf) -> Self {
         let files = UsageFiles::open(folder);
         let mut inner = BucketTable::default();
         for (start, rows) in files.read().into_iter().flat_map(|it| it.buckets) {
             for row in rows {
-                let (key, sums) = split_row(row);
-                inner.sums(start, key).add(sums);
+                let (key, totals) = split_row(row);
+                inner.totals(start, key).add(totals);
             }
         }
         inner.trim();
@@ -86,7 +86,7 @@
         let start = at.0 / BUCKET_MS * BUCKET_MS;
         for used in stages {
             let key = (used.customer.clone(), used.stage.clone(), used.pool.clone());
-            inner.sums(start, key).add(Sums {
+            inner.totals(start, key).add(UsageTotals {
                 calls: used.calls.into(),
                 busy: used.busy.0,
                 tokens: used.tokens.0,
@@ -98,13 +98,13 @@
     }
 
     /// Returns the totals of the buckets that lie at least partly in the span.
-    pub(crate) fn rows(&self, span: Span) -> Vec<UseRow> {
+    pub(crate) fn rows(&self, span: Span) -> Vec<UsageRow> {
         let inner = self.lock();
         let from = span.from.0.saturating_sub(BUCKET_MS - 1);
-        let mut rows = Rows::default();
+        let mut rows = UsageRows::default();
         for bucket in inner.buckets.range(from..span.to.0.max(from)).map(|it| it.1) {
-            for (key, sums) in bucket {
-                rows.add(key.clone(), *sums);
+            for (key, totals) in bucket {
+                rows.add(key.clone(), *totals);
             }
         }
         rows.into_rows()
@@ -112,12 +112,12 @@
 }
 
 impl BucketTable {
-    fn sums(&mut self, start: u64, key: Key) -> &mut Sums {
+    fn totals(&mut self, start: u64, key: UsageKey) -> &mut UsageTotals {
         let rows = &mut self.rows;
         let bucket = self.buckets.entry(start).or_default();
         bucket.entry(key).or_insert_with(|| {
             *rows += 1;
-            Sums::default()
+            UsageTotals::default()
         })
     }
 
@@ -132,11 +132,12 @@
     }
 
     fn trim(&mut self) {
-        while self.rows > MAX_ROWS && self.buckets.len() > 1 {
+        while self.rows > MAX_STORED_ROWS && self.buckets.len() > 1 {
             if let Some((start, bucket)) = self.buckets.pop_first() {
                 self.rows -= bucket.len();
                 self.unsaved_hours.insert(start / HOUR_MS * HOUR_MS);
-                log::warn!(start; "dropped the stage usage of the oldest minute: too many rows are stored");
+                log::warn!(start;
+                    "dropped the stage usage of the oldest minute: too many rows are stored");
             }
         }
     }
@@ -144,29 +145,29 @@
 
 /// Adds up the rows of several members.
 #[derive(Default)]
-pub(crate) struct Rows(BTreeMap<Key, Sums>);
+pub(crate) struct UsageRows(BTreeMap<UsageKey, UsageTotals>);
 
-impl Rows {
-    fn add(&mut self, key: Key, sums: Sums) {
-        self.0.entry(key).or_default().add(sums);
+impl UsageRows {
+    fn add(&mut self, key: UsageKey, totals: UsageTotals) {
+        self.0.entry(key).or_default().add(totals);
     }
 
     /// Adds the rows of one member.
-    pub(crate) fn extend(&mut self, rows: Vec<UseRow>) {
+    pub(crate) fn extend(&mut self, rows: Vec<UsageRow>) {
         for row in rows {
-            let (key, sums) = split_row(row);
-            self.add(key, sums);
+            let (key, totals) = split_row(row);
+            self.add(key, totals);
         }
     }
 
     /// Returns the totals as rows.
-    pub(crate) fn into_rows(self) -> Vec<UseRow> {
+    pub(crate) fn into_rows(self) -> Vec<UsageRow> {
         to_usage_rows(self.0)
     }
 }
 
-impl Sums {
-    fn add(&mut self, more: Sums) {
+impl UsageTotals {
+    fn add(&mut self, more: UsageTotals) {
         self.calls += more.calls;
         self.busy += more.busy;
         self.tokens += more.tokens;
@@ -174,21 +175,25 @@
     }
 }
 
-fn split_row(row: UseRow) -> (Key, Sums) {
-    let sums =
-        Sums { calls: row.calls, busy: row.busy.0, tokens: row.tokens.0, wasted: row.wasted.0 };
-    ((row.customer, row.stage, row.pool), sums)
+fn split_row(row: UsageRow) -> (UsageKey, UsageTotals) {
+    let totals = UsageTotals {
+        calls: row.calls,
+        busy: row.busy.0,
+        tokens: row.tokens.0,
+        wasted: row.wasted.0,
+    };
+    ((row.customer, row.stage, row.pool), totals)
 }
 
-fn to_usage_rows(rows: BTreeMap<Key, Sums>) -> Vec<UseRow> {
-    let row = |((customer, stage, pool), sums): (Key, Sums)| UseRow {
+fn to_usage_rows(rows: BTreeMap<UsageKey, UsageTotals>) -> Vec<UsageRow> {
+    let row = |((customer, stage, pool), totals): (UsageKey, UsageTotals)| UsageRow {
         customer,
         stage,
         pool,
-        calls: sums.calls,
-        busy: Micros(sums.busy),
-        tokens: Tokens(sums.tokens),
-        wasted: Micros(sums.wasted),
+        calls: totals.calls,
+        busy: Micros(totals.busy),
+        tokens: Tokens(totals.tokens),
+        wasted: Micros(totals.wasted),
     };
     rows.into_iter().map(row).collect()
 }
--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_disk_comes_back_as_another_life() {
+async fn a_lost_disk_comes_back_as_another_incarnation() {
     // A member whose disk was replaced must not vote twice in a term. It would do so if it
     // restarted with an empty folder under its previous node id.
     let mut cluster = Cluster::new(3, 0);
--- a/crates/control/tests/entries.rs
+++ b/crates/control/tests/entries.rs
@@ -125,7 +125,7 @@
         version: Version(1),
         age_ms: Some(0),
         draining: false,
-        behind: None,
+        rejected: None,
     };
     // A session of another incarnation on the same VM does not count.
     let other = EntryStatus { owner: Incarnation(8), ..seen.clone() };
--- a/crates/follower/src/confirm_requests.rs
+++ b/crates/follower/src/confirm_requests.rs
@@ -6,7 +6,7 @@
 use wire::session::Ticket;
 
 /// The maximum number of open requests; answers to older ones are ignored.
-const MAX_OPEN: usize = 8;
+const MAX_OPEN_REQUESTS: usize = 8;
 
 /// A request for a confirmation.
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +27,7 @@
 impl ConfirmRequests {
     /// Records a request before it is sent, because its answer is as old as the request.
     pub(crate) fn add(&mut self, ticket: Ticket, have: Version) {
-        if self.open.len() == MAX_OPEN {
+        if self.open.len() == MAX_OPEN_REQUESTS {
             self.open.remove(0);
         }
         self.open.push(ConfirmRequest { ticket, requested_at: Instant::now(), have });
--- a/crates/follower/src/confirm_timer.rs
+++ b/crates/follower/src/confirm_timer.rs
@@ -9,7 +9,7 @@
 /// The number of bytes that must arrive within [`CONFIRM_TIMEOUT`] for a message to count as in
 /// flight. This is far more than heartbeats (about 15 bytes), and 5 % of what a link of 10 Mbit/s
 /// carries in that time.
-pub const PROGRESS_BYTES: u64 = 100_000;
+pub const MIN_PROGRESS_BYTES: u64 = 100_000;
 
 /// The delay between the last two checks. It is long enough to read what has already arrived, and
 /// many times longer than a busy machine delays a task.
@@ -51,7 +51,7 @@
         if now < self.deadline() {
             return false;
         }
-        if received_bytes >= self.received_bytes + PROGRESS_BYTES {
+        if received_bytes >= self.received_bytes + MIN_PROGRESS_BYTES {
             *self = Self::new(now, received_bytes);
             return false;
         }
--- a/crates/follower/src/digest_filter.rs
+++ b/crates/follower/src/digest_filter.rs
@@ -4,7 +4,7 @@
 
 /// The time without a newer digest after which a lower number counts as the first one of a new
 /// sender.
-const SENDER_TIMEOUT: Duration = Duration::from_secs(3);
+const NEW_SENDER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Accepts the digests of one control process in their order.
 ///
@@ -20,7 +20,7 @@
     /// Returns whether a digest that arrived by datagram is to be used.
     pub fn accept_datagram(&mut self, sequence: u64, now: Instant) -> bool {
         let is_outdated = self.latest.is_some_and(|(latest, at)| {
-            sequence <= latest && now.saturating_duration_since(at) < SENDER_TIMEOUT
+            sequence <= latest && now.saturating_duration_since(at) < NEW_SENDER_TIMEOUT
         });
         if !is_outdated {
             self.latest = Some((sequence, now));
--- a/crates/follower/src/follower.rs
+++ b/crates/follower/src/follower.rs
@@ -20,10 +20,10 @@
 use crate::shared::{Command, Shared};
 
 /// The maximum number of events that wait for the entry.
-const EVENT_QUEUE_LENGTH: usize = 64;
+const MAX_QUEUED_EVENTS: usize = 64;
 
 /// The maximum number of commands that wait for the session's task.
-const COMMAND_QUEUE_LENGTH: usize = 1_024;
+const MAX_QUEUED_COMMANDS: usize = 1_024;
 
 /// The age of the latest quorum confirmation beyond which a claim is rejected at once. No quorum
 /// exists or can be reached then, and the caller learns so without waiting.
@@ -103,8 +103,8 @@
         let socket = open_socket(config.control.first().copied())?;
         let datagrams = Datagrams::from_socket(socket, &secret)?;
         let shared = Arc::new(Shared::new());
-        let (events, receiver) = mpsc::channel(EVENT_QUEUE_LENGTH);
-        let (commands, taken) = mpsc::channel(COMMAND_QUEUE_LENGTH);
+        let (events, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
+        let (commands, taken) = mpsc::channel(MAX_QUEUED_COMMANDS);
         let task = session::Task::new(config, secret, Arc::clone(&shared), events);
         tokio::spawn(task.run(taken, datagrams));
         Ok((Arc::new(Self { shared, commands }), receiver))
@@ -205,9 +205,7 @@
     /// Tells the control members that this entry drains.
     pub fn draining(&self) {
         if self.commands.try_send(Command::Drain).is_err() {
-            log::warn!(
-                "the control members were not told that this entry drains: too many commands wait for the session"
-            );
+            log::warn!("the drain could not be reported: too many commands wait for the session");
         }
     }
 
--- a/crates/follower/src/lib.rs
+++ b/crates/follower/src/lib.rs
@@ -17,7 +17,7 @@
 mod shared;
 mod versions;
 
-pub use confirm_timer::{CONFIRM_TIMEOUT, ConfirmTimer, PROGRESS_BYTES};
+pub use confirm_timer::{CONFIRM_TIMEOUT, ConfirmTimer, MIN_PROGRESS_BYTES};
 pub use digest_filter::DigestFilter;
 pub use follower::{ClaimError, Event, Follower, FollowerConfig, Snapshot};
 pub use member_selector::MemberSelector;
--- a/crates/follower/src/member_selector.rs
+++ b/crates/follower/src/member_selector.rs
@@ -12,7 +12,7 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// The number of failures that double the backoff.
-const MAX_DOUBLINGS: u32 = 6;
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 #[derive(Debug)]
 struct Member {
@@ -66,7 +66,7 @@
         let Some(member) = self.members.iter_mut().find(|it| it.address == address) else {
             return;
         };
-        let backoff = MIN_BACKOFF * 2_u32.pow(member.failures.min(MAX_DOUBLINGS));
+        let backoff = MIN_BACKOFF * 2_u32.pow(member.failures.min(MAX_BACKOFF_DOUBLINGS));
         let jitter = rng.random_range(0.5..1.0);
         member.avoid_until = Some(now + backoff.min(MAX_BACKOFF).mul_f64(jitter));
         member.blocked_until = member.avoid_until;
--- a/crates/follower/src/session.rs
+++ b/crates/follower/src/session.rs
@@ -151,8 +151,8 @@
         let end = loop {
             let now = Instant::now();
             if confirm_timer.has_expired(now, receiver.received()) {
-                let why = format!("no quorum confirmed for {CONFIRM_TIMEOUT:?}");
-                break SessionEnd::Failed(StepError::new("confirm version", why).at(member));
+                let reason = format!("no quorum confirmed for {CONFIRM_TIMEOUT:?}");
+                break SessionEnd::Failed(StepError::new("confirm version", reason).at(member));
             }
             self.send_due(&sender, now);
             let next_due = self.requests.next_due().unwrap_or(now + CONFIRM_INTERVAL);
@@ -166,7 +166,9 @@
                             confirm_timer = ConfirmTimer::new(Instant::now(), receiver.received());
                         }
                     }
-                    Ok(None) => break SessionEnd::Failed(StepError::new("follow", "closed").at(member)),
+                    Ok(None) => break SessionEnd::Failed(
+                        StepError::new("follow", "closed").at(member)
+                    ),
                     Err(error) => break SessionEnd::Failed(error),
                 },
                 command = commands.recv() => match command {
@@ -208,7 +210,8 @@
     fn failed(&mut self, member: SocketAddr, error: &StepError) {
         self.member_selector.failed(member, Instant::now(), &mut rand::rng());
         if let Some(held) = self.failure_log.pass() {
-            log::warn!(peer = member.to_string(), held; "the session with a control member failed, another member is tried: {error}");
+            log::warn!(peer = member.to_string(), held;
+                "the session with a control member failed; reconnecting: {error}");
         }
     }
 
--- a/crates/follower/src/session/offers.rs
+++ b/crates/follower/src/session/offers.rs
@@ -42,7 +42,7 @@
             Offer::Lower => {
                 let have = self.versions.have();
                 log::warn!(
-                    "ignored version {version}, which is lower than one offered before; {have} stays in force"
+                    "ignored version {version}, lower than an earlier offer; {have} stays in force"
                 );
                 self.shared.update_view(|view| view.lower_offers += 1);
             }
@@ -84,9 +84,7 @@
         // version.
         if version < request.have {
             let have = request.have;
-            log::error!(
-                "a quorum confirmed version {version}, lower than {have}, which was already in force"
-            );
+            log::error!("a quorum confirmed version {version}, but {have} was already in force");
             self.shared.update_view(|view| view.lower_offers += 1);
         } else if self.versions.is_current(version) {
             self.shared.freshness.confirm(request.requested_at);
--- a/crates/follower/tests/confirm_timer.rs
+++ b/crates/follower/tests/confirm_timer.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use follower::{CONFIRM_TIMEOUT, ConfirmTimer, PROGRESS_BYTES};
+use follower::{CONFIRM_TIMEOUT, ConfirmTimer, MIN_PROGRESS_BYTES};
 
 /// An event, `ms` after the previous one, with the number of bytes received by then.
 enum Event {
@@ -32,8 +32,8 @@
     Case {
         name: "heartbeats do not count as a message in flight",
         events: &[
-            Check { ms: 1_400, received: PROGRESS_BYTES - 1, expired: false },
-            Check { ms: 100, received: PROGRESS_BYTES - 1, expired: true },
+            Check { ms: 1_400, received: MIN_PROGRESS_BYTES - 1, expired: false },
+            Check { ms: 100, received: MIN_PROGRESS_BYTES - 1, expired: true },
         ],
     },
     Case {
--- a/crates/follower/tests/slow_link.rs
+++ b/crates/follower/tests/slow_link.rs
@@ -14,10 +14,10 @@
 const CHUNK_DELAY: Duration = Duration::from_millis(13);
 
 /// Takes about 2.5 s on that link.
-const BYTES: usize = 3_000_000;
+const PADDING_BYTES: usize = 3_000_000;
 
 /// How long the entry's process is paused: longer than its confirmation timeout.
-const STALL: Duration = Duration::from_millis(1_800);
+const STALL_DURATION: Duration = Duration::from_millis(1_800);
 
 /// An entry must not leave a working member with `no quorum confirmed for 1.5s` because of its own
 /// delay. A busy machine needs 1.6 s to read a document of 3 MB, or the process is paused; the
@@ -31,10 +31,10 @@
     let ticket = session.confirm_ticket().await;
     session.send(ControlMessage::Confirmed { ticket, version: Version(1) }).await;
     // Nothing else runs on this thread: neither the connection nor the entry makes progress.
-    std::thread::sleep(STALL);
+    std::thread::sleep(STALL_DURATION);
     session.confirm_version = Some(Version(1));
     session.serve();
-    let left = tokio::time::timeout(STALL, member.session(None)).await;
+    let left = tokio::time::timeout(STALL_DURATION, member.session(None)).await;
     assert!(left.is_err(), "the member was left though it had answered");
 }
 
@@ -50,7 +50,7 @@
     let (_follower, mut events) = spawn(&[proxy.address()]);
     let version = Version(1);
     let session = member.session(Some(version)).await;
-    let base = document().base + &" ".repeat(BYTES);
+    let base = document().base + &" ".repeat(PADDING_BYTES);
     let document = Document { base, ..Document::default() };
     session.send(ControlMessage::Service { version, document }).await;
     session.serve();
