--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -179,7 +179,7 @@
         background::manage_entries(shared(), usage_receivers),
     ));
     tasks.push(spawn_background(&member, "use by stage", background::save_usage(shared())));
-    tasks.push(spawn_background(&member, "loads", inbound::take_loads(shared(), datagrams)));
+    tasks.push(spawn_background(&member, "loads", inbound::receive_loads(shared(), datagrams)));
     tasks.push(spawn_background(
         &member,
         "listener",
--- a/crates/control/src/inbound.rs
+++ b/crates/control/src/inbound.rs
@@ -167,7 +167,7 @@
 
 /// Receives the entries' load reports for as long as the socket works. A member that does not lead
 /// forwards them to the leader.
-pub(crate) async fn take_loads(member: Arc<Member>, datagrams: wire::Datagrams) {
+pub(crate) async fn receive_loads(member: Arc<Member>, datagrams: wire::Datagrams) {
     loop {
         match datagrams.recv::<wire::session::LoadReport>().await {
             Ok((_, report)) if member.core.view().leads() => member.fleet.entry_load(report),
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -85,7 +85,7 @@
 
     /// Returns the VMs of the other members and whether each is connected.
     pub(crate) fn connected(&self) -> Vec<(VmName, bool)> {
-        let row = |(vm, link): (&VmName, &Arc<Link>)| (vm.clone(), link.is_up());
+        let row = |(vm, link): (&VmName, &Arc<Link>)| (vm.clone(), link.is_connected());
         self.links.iter().map(row).collect()
     }
 
@@ -191,7 +191,7 @@
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn is_up(&self) -> bool {
+    fn is_connected(&self) -> bool {
         self.sender.load().is_some()
     }
 
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -85,7 +85,7 @@
 
     /// Returns the status of every entry that has a session with this member.
     pub(crate) fn entries(&self) -> Vec<EntryStatus> {
-        let seen = |it: &OpenSession| EntryStatus {
+        let status = |it: &OpenSession| EntryStatus {
             vm: it.vm.clone(),
             site: it.site.clone(),
             owner: it.owner,
@@ -94,7 +94,7 @@
             draining: it.draining,
             rejected: it.rejected.clone(),
         };
-        self.lock().values().map(seen).collect()
+        self.lock().values().map(status).collect()
     }
 
     /// Runs one entry's session until its connection ends.
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -61,7 +61,7 @@
     }
     for entry in member.entries() {
         let known = latest.get(&entry.vm);
-        // Two members may list an entry that moved from one to the other for a moment.
+        // For a moment, two members may list an entry that moved from one to the other.
         if known.is_none_or(|it| it.1.is_some() || is_more_recent(&entry, &it.0)) {
             latest.insert(entry.vm.clone(), (entry, None));
         }
@@ -72,7 +72,7 @@
         .collect()
 }
 
-/// Returns whether the entry requested a confirmation more recently according to the first status.
+/// Returns whether `entry` requested a confirmation more recently than `other`.
 fn is_more_recent(entry: &EntryStatus, other: &EntryStatus) -> bool {
     let age = |it: &EntryStatus| it.age_ms.unwrap_or(u64::MAX);
     age(entry) < age(other)
@@ -120,7 +120,7 @@
     }
 }
 
-/// The leader reports its own view of the upstreams; the other members report the leader's digest.
+/// Lists the upstreams: on the leader from its own data, on other members from the leader's digest.
 fn upstreams(member: &Member) -> Vec<UpstreamRow> {
     let view = member.fleet.view();
     if !view.leading {
@@ -158,8 +158,8 @@
     } else if view.leader.is_none() {
         why.push("no leader is known: no quorum is reached from here".to_owned());
     }
-    for (vm, is_up) in member.peers.connected() {
-        if !is_up {
+    for (vm, is_connected) in member.peers.connected() {
+        if !is_connected {
             why.push(format!("no connection to member {vm}"));
         }
     }
--- a/crates/control/src/usage_store.rs
+++ b/crates/control/src/usage_store.rs
@@ -80,7 +80,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds the usage that an entry reported at `at`.
+    /// Adds the usage that an entry reported up to `at`.
     pub(crate) fn add(&self, at: UnixMillis, stages: &[StageUse]) {
         let mut inner = self.lock();
         let start = at.0 / BUCKET_MS * BUCKET_MS;
