--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use follower::Snapshot;
+use follower::ServiceSnapshot;
 use http::HeaderValue;
 use sha2::{Digest, Sha256};
 use types::{CustomerName, Pipeline, PipelineName, Service};
@@ -14,14 +14,14 @@
 /// The service in force with what an entry derives from it.
 #[derive(Debug)]
 pub(crate) struct View {
-    snapshot: Arc<Snapshot>,
+    snapshot: Arc<ServiceSnapshot>,
     pipelines: HashMap<PipelineName, Arc<Pipeline>>,
     longest: Duration,
     keys: HashMap<[u8; 32], CustomerName>,
 }
 
 impl View {
-    pub(crate) fn new(snapshot: Arc<Snapshot>) -> Self {
+    pub(crate) fn new(snapshot: Arc<ServiceSnapshot>) -> Self {
         let mut keys = HashMap::new();
         for (name, customer) in &snapshot.service.customers {
             let hashes = customer.keys.iter().filter_map(|it| parse(it));
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -56,8 +56,8 @@
     let claim = Claim { core: &core, key, ticket: core.ticket() };
     let asked = Asked::now();
     let answer = match claim.ask(&request).await {
-        Ok(Claimed { answer, doubt }) => {
-            if doubt && !answer.is_settled() {
+        Ok(Claimed { answer, open_attempt }) => {
+            if open_attempt && !answer.is_settled() {
                 claim.keep_out().await;
             }
             answer
@@ -141,9 +141,9 @@
         loop {
             let by = request.by().min(Instant::now() + CLAIM);
             match self.claim(request, by).await {
-                Ok(Claimed { answer, doubt }) => {
+                Ok(Claimed { answer, open_attempt }) => {
                     self.core.quorum.found();
-                    return Ok(Claimed { answer, doubt: doubt || lost.is_some() });
+                    return Ok(Claimed { answer, open_attempt: open_attempt || lost.is_some() });
                 }
                 Err(ClaimError::Uncertain(why)) => lost = Some(why),
                 Err(ended @ ClaimError::Ended(_)) => lost = Some(ended.to_string()),
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -5,14 +5,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use follower::{ClaimError, Claimed, Follower, Snapshot};
+use follower::{ClaimError, Claimed, Follower, ServiceSnapshot};
 use types::{ClaimKey, ClaimRequest, ClaimTicket, StoredAnswer, UpstreamName};
 use wire::session::UsageReport;
 
 /// A session with control.
 pub trait Session: Send + Sync + 'static {
     /// Returns the service in force, or `None` before the first.
-    fn service(&self) -> Option<Arc<Snapshot>>;
+    fn service(&self) -> Option<Arc<ServiceSnapshot>>;
 
     /// Returns how old the knowledge is that this service is in force.
     fn age(&self, now: Instant) -> Option<Duration>;
@@ -55,7 +55,7 @@
 }
 
 impl Session for Follower {
-    fn service(&self) -> Option<Arc<Snapshot>> {
+    fn service(&self) -> Option<Arc<ServiceSnapshot>> {
         Follower::service(self)
     }
 
--- a/crates/entry/src/tasks.rs
+++ b/crates/entry/src/tasks.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use follower::{Event, Snapshot};
+use follower::{Event, ServiceSnapshot};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 use tokio::time::{MissedTickBehavior, interval};
@@ -80,7 +80,7 @@
 }
 
 /// Puts a version in force. An older one than that in force is ignored.
-fn install<S: Session>(core: &Core<S>, snapshot: Arc<Snapshot>) {
+fn install<S: Session>(core: &Core<S>, snapshot: Arc<ServiceSnapshot>) {
     let version = snapshot.service.version;
     let current = core.view.load().as_ref().map(|it| it.service().version);
     if current.is_some_and(|it| it >= version) {
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use entry::{Entry, EntryConfig, Session};
-use follower::{ClaimError, Claimed, Snapshot};
+use follower::{ClaimError, Claimed, ServiceSnapshot};
 use serde_json::{Value, json};
 use settings::EntryPart;
 use sha2::{Digest, Sha256};
@@ -39,7 +39,7 @@
 /// A session that answers by script; what the script does not name succeeds.
 #[derive(Default)]
 pub(crate) struct FakeSession {
-    pub(crate) snapshot: Mutex<Option<Arc<Snapshot>>>,
+    pub(crate) snapshot: Mutex<Option<Arc<ServiceSnapshot>>>,
     pub(crate) stale: Mutex<bool>,
     pub(crate) claims: Mutex<VecDeque<Result<ClaimAnswer, ClaimError>>>,
     pub(crate) finishes: Mutex<VecDeque<Result<(), ClaimError>>>,
@@ -76,7 +76,7 @@
 }
 
 impl Session for FakeSession {
-    fn service(&self) -> Option<Arc<Snapshot>> {
+    fn service(&self) -> Option<Arc<ServiceSnapshot>> {
         self.snapshot.lock().unwrap().clone()
     }
 
@@ -95,7 +95,7 @@
     ) -> impl Future<Output = Result<Claimed, ClaimError>> + Send {
         self.asked.lock().unwrap().push(Asked::Claim(request));
         let answer = Self::next(&self.claims, Ok(ClaimAnswer::Granted));
-        std::future::ready(answer.map(Claimed::sure))
+        std::future::ready(answer.map(Claimed::certain))
     }
 
     async fn finish(
@@ -199,7 +199,7 @@
 /// Starts an entry with this service in force.
 pub(crate) async fn open_service(service: Service) -> (Entry<FakeSession>, Arc<FakeSession>) {
     let session = Arc::new(FakeSession::default());
-    *session.snapshot.lock().unwrap() = Some(Arc::new(Snapshot { service }));
+    *session.snapshot.lock().unwrap() = Some(Arc::new(ServiceSnapshot { service }));
     let (sender, events) = mpsc::channel(4);
     std::mem::forget(sender);
     let part = EntryPart {
--- a/crates/follower/src/follower.rs
+++ b/crates/follower/src/follower.rs
@@ -46,7 +46,7 @@
 
 /// The service in force, resolved for this site.
 #[derive(Debug)]
-pub struct Snapshot {
+pub struct ServiceSnapshot {
     /// The service.
     pub service: Service,
 }
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub enum Event {
     /// A higher version is in force.
-    Service(Arc<Snapshot>),
+    Service(Arc<ServiceSnapshot>),
     /// A load digest arrived.
     Digest(Digest),
     /// Shares of the customers' limits arrived.
@@ -111,7 +111,7 @@
     }
 
     /// Returns the service in force, or `None` before the first.
-    pub fn service(&self) -> Option<Arc<Snapshot>> {
+    pub fn service(&self) -> Option<Arc<ServiceSnapshot>> {
         self.shared.current.load_full()
     }
 
--- a/crates/follower/src/lib.rs
+++ b/crates/follower/src/lib.rs
@@ -19,7 +19,7 @@
 
 pub use confirm_timer::{CONFIRM_TIMEOUT, ConfirmTimer, MIN_PROGRESS_BYTES};
 pub use digest_filter::DigestFilter;
-pub use follower::{ClaimError, Event, Follower, FollowerConfig, Snapshot};
+pub use follower::{ClaimError, Event, Follower, FollowerConfig, ServiceSnapshot};
 pub use member_selector::MemberSelector;
 pub use report::{LoadReporter, merge_usage};
 pub use requests::Claimed;
--- a/crates/follower/src/outbox.rs
+++ b/crates/follower/src/outbox.rs
@@ -8,7 +8,7 @@
 use types::{CustomerName, Digest};
 use wire::session::CustomerShare;
 
-use crate::{Event, Snapshot};
+use crate::{Event, ServiceSnapshot};
 
 /// Sends events without waiting for the entry, because a waiting session would not request
 /// confirmations from a quorum.
@@ -16,7 +16,7 @@
 pub(crate) struct Outbox {
     events: mpsc::Sender<Event>,
     // The events that must reach the entry although its queue was full; only the latest ones count.
-    unsent_service: Option<Arc<Snapshot>>,
+    unsent_service: Option<Arc<ServiceSnapshot>>,
     unsent_shares: BTreeMap<CustomerName, CustomerShare>,
     /// The latest shares of this session. Control members send only changes, and a new version may
     /// contain customers whose shares arrived before it.
@@ -33,7 +33,7 @@
         }
     }
 
-    pub(crate) fn service(&mut self, snapshot: Arc<Snapshot>) {
+    pub(crate) fn service(&mut self, snapshot: Arc<ServiceSnapshot>) {
         self.unsent_service = Some(snapshot);
         self.unsent_shares = self.latest_shares.clone();
         self.flush();
--- a/crates/follower/src/requests.rs
+++ b/crates/follower/src/requests.rs
@@ -95,13 +95,13 @@
     pub answer: ClaimAnswer,
     /// Whether an earlier attempt was never answered and may still reach the state. If the answer
     /// is not a grant, that attempt may be granted later.
-    pub doubt: bool,
+    pub open_attempt: bool,
 }
 
 impl Claimed {
     /// Creates the result of a claim that was sent only once.
-    pub fn sure(answer: ClaimAnswer) -> Self {
-        Self { answer, doubt: false }
+    pub fn certain(answer: ClaimAnswer) -> Self {
+        Self { answer, open_attempt: false }
     }
 }
 
@@ -196,7 +196,7 @@
         if let Some((_, pending)) = self.sent.remove(&ticket) {
             self.release_bytes(&pending);
             if let Answer::Claim(claimed) = &mut answer {
-                claimed.doubt = pending.open_attempt;
+                claimed.open_attempt = pending.open_attempt;
             }
             let _ = pending.reply.send(answer);
         }
--- a/crates/follower/src/session.rs
+++ b/crates/follower/src/session.rs
@@ -19,7 +19,7 @@
 use crate::shared::{Command, Shared};
 use crate::{
     CONFIRM_TIMEOUT, ConfirmTimer, DigestFilter, Event, FollowerConfig, LoadReporter,
-    MemberSelector, Snapshot, Versions, merge_usage,
+    MemberSelector, ServiceSnapshot, Versions, merge_usage,
 };
 
 /// How often the entry requests a confirmation of the version in force.
@@ -51,7 +51,7 @@
     requests: Requests,
     ticket: Ticket,
     confirm_requests: ConfirmRequests,
-    held_snapshot: Option<Arc<Snapshot>>,
+    held_snapshot: Option<Arc<ServiceSnapshot>>,
     rejected_version: Option<(Version, String)>,
     /// The document that this session sent last, to which edits apply.
     document: Option<(Version, Document)>,
@@ -284,7 +284,7 @@
                 return self.handle_confirmation(ticket, version);
             }
             ControlMessage::Claim { ticket, answer } => {
-                self.requests.answered(ticket, Answer::Claim(Claimed::sure(answer)));
+                self.requests.answered(ticket, Answer::Claim(Claimed::certain(answer)));
             }
             ControlMessage::Committed { ticket } => {
                 self.requests.answered(ticket, Answer::Committed);
--- a/crates/follower/src/session/offers.rs
+++ b/crates/follower/src/session/offers.rs
@@ -7,7 +7,7 @@
 use wire::session::{EntryMessage, Ticket};
 
 use super::{EntrySender, Task, send};
-use crate::{Offer, Snapshot};
+use crate::{Offer, ServiceSnapshot};
 
 impl Task {
     /// Applies an edit to the document that this session sent last. If the edit does not apply, the
@@ -49,7 +49,7 @@
             offer => match settings::resolve(document, &self.config.site) {
                 Ok(service) => {
                     let service = Service { version, ..service };
-                    let snapshot = Arc::new(Snapshot { service });
+                    let snapshot = Arc::new(ServiceSnapshot { service });
                     if offer == Offer::Install {
                         self.install(snapshot);
                     } else {
@@ -92,7 +92,7 @@
         true
     }
 
-    fn install(&mut self, snapshot: Arc<Snapshot>) {
+    fn install(&mut self, snapshot: Arc<ServiceSnapshot>) {
         let version = snapshot.service.version;
         self.versions.installed(version);
         if self.rejected_version.as_ref().is_some_and(|(kept, _)| *kept < version) {
--- a/crates/follower/src/shared.rs
+++ b/crates/follower/src/shared.rs
@@ -7,7 +7,7 @@
 use types::{UpstreamName, Version};
 use wire::session::UsageReport;
 
-use crate::Snapshot;
+use crate::ServiceSnapshot;
 use crate::freshness::Freshness;
 use crate::requests::Pending;
 
@@ -44,7 +44,7 @@
 /// State that the session's task writes and all threads read.
 #[derive(Debug)]
 pub(crate) struct Shared {
-    pub(crate) current: ArcSwapOption<Snapshot>,
+    pub(crate) current: ArcSwapOption<ServiceSnapshot>,
     pub(crate) freshness: Freshness,
     pub(crate) view: ArcSwap<SessionView>,
 }
--- a/crates/follower/tests/claim.rs
+++ b/crates/follower/tests/claim.rs
@@ -25,7 +25,7 @@
     assert_eq!(again, first);
     let answer = ClaimAnswer::Granted;
     session.send(ControlMessage::Claim { ticket, answer }).await;
-    let claimed = Claimed { answer: ClaimAnswer::Granted, doubt: true };
+    let claimed = Claimed { answer: ClaimAnswer::Granted, open_attempt: true };
     assert_eq!(within("the answer", claim).await.unwrap(), Ok(claimed));
 }
 
@@ -40,7 +40,7 @@
     session.send(ControlMessage::Uncertain { ticket, reason: "lost".to_owned() }).await;
     let EntryMessage::Claim { ticket, .. } = session.next().await else { panic!() };
     session.send(ControlMessage::Claim { ticket, answer: ClaimAnswer::Running }).await;
-    let claimed = Claimed { answer: ClaimAnswer::Running, doubt: true };
+    let claimed = Claimed { answer: ClaimAnswer::Running, open_attempt: true };
     assert_eq!(within("the answer", claim).await.unwrap(), Ok(claimed));
 }
 
