--- a/crates/control/src/leader_client/tests.rs
+++ b/crates/control/src/leader_client/tests.rs
@@ -18,9 +18,9 @@
 use crate::request::{LeaderRequest, LeaderResponse, LeaderResult, RequestError};
 use crate::view::View;
 
-/// How often the fake core checks for requests. The clock of these tests is paused while any task
-/// runs, so a short interval keeps responses ahead of the request's deadline even on a busy
-/// machine. A response after the deadline would look like a lost one.
+/// How often the fake core checks for requests. The clock of these tests advances only while no
+/// task runs. On a busy machine a response could otherwise come after the request's deadline, which
+/// the client cannot distinguish from a lost response.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// How long a request may take.
