--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -57,8 +57,8 @@
     let claim = Claim { core: &core, key, ticket: core.ticket() };
     let asked = ClaimRequested::now();
     let answer = match claim.ask(&request).await {
-        Ok(Claimed { answer, doubt }) => {
-            if doubt && !answer.is_settled() {
+        Ok(Claimed { answer, open_attempt }) => {
+            if open_attempt && !answer.is_settled() {
                 claim.revoke().await;
             }
             answer
@@ -144,9 +144,9 @@
         loop {
             let deadline = request.deadline().min(Instant::now() + CLAIM_TIMEOUT);
             match self.claim(request, deadline).await {
-                Ok(Claimed { answer, doubt }) => {
+                Ok(Claimed { answer, open_attempt }) => {
                     self.core.quorum_loss.clear();
-                    return Ok(Claimed { answer, doubt: doubt || lost.is_some() });
+                    return Ok(Claimed { answer, open_attempt: open_attempt || lost.is_some() });
                 }
                 Err(ClaimError::Uncertain(why)) => lost = Some(why),
                 Err(ended @ ClaimError::Ended(_)) => lost = Some(ended.to_string()),
--- a/crates/entry/src/tasks.rs
+++ b/crates/entry/src/tasks.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use follower::{Event, Snapshot};
+use follower::{Event, ServiceSnapshot};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 use tokio::time::{MissedTickBehavior, interval};
@@ -82,7 +82,7 @@
 }
 
 /// Puts a service version in force, unless the current one is as new or newer.
-fn install<S: Session>(core: &Core<S>, snapshot: Arc<Snapshot>) {
+fn install<S: Session>(core: &Core<S>, snapshot: Arc<ServiceSnapshot>) {
     let version = snapshot.service.version;
     let current = core.view.load().as_ref().map(|it| it.service().version);
     if current.is_some_and(|it| it >= version) {
