--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,4 +1,4 @@
-//! What a node is made from, and the answers of its calls.
+//! The parameters and restored data of a node, and the results of its calls.
 
 use std::fmt;
 
@@ -9,52 +9,55 @@
 /// The fixed parameters of a node.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This life of the data folder. An empty folder has a new id, or it could vote twice in a
-    /// term.
+    /// The id of this incarnation of the data folder. An empty folder needs a new id; with its old
+    /// id the node could vote twice in one term.
     pub id: NodeId,
-    /// The shortest election timeout, in ticks; the actual one is drawn between this and twice
-    /// this.
+    /// The shortest election timeout, in ticks. Each timeout is drawn at random between this value
+    /// and twice this value.
     pub election_ticks: u32,
-    /// The same for the first one after the start, at most `election_ticks`. A node that starts knows
-    /// no leader, and asks before it stands, so it need not wait as long: where one leads, the others
-    /// refuse; where all have lost their power, there is a leader sooner.
+    /// The shortest timeout of the first election after a start, in ticks; capped at
+    /// `election_ticks`. It may be shorter: a node that has just started knows no leader and sends
+    /// a pre-vote first, which the others refuse while they have a leader. After a power failure of
+    /// all nodes, a leader is elected sooner.
     pub first_ticks: u32,
-    /// The time between two heartbeats, in ticks; well below `election_ticks`.
+    /// The interval between two heartbeats, in ticks; well below `election_ticks`.
     pub heartbeat_ticks: u32,
-    /// The time after which a leader hands over whose own disk lacks what was committed, in ticks.
+    /// The time, in ticks, after which a leader transfers its leadership because its own disk still
+    /// lacks entries that were committed.
     pub lag_ticks: u32,
-    /// The time for which a write may be under way, in ticks; after it the node answers no heartbeats,
-    /// so that it counts as lost like one that is silent.
+    /// The time, in ticks, after which a write in flight counts as stalled. The node then stops
+    /// answering heartbeats, so the leader treats it like a node that is silent.
     pub stall_ticks: u32,
-    /// The time that a transfer may take while the heir answers, in ticks; a silent one has an election
-    /// timeout.
+    /// The timeout of a leadership transfer whose target answers, in ticks. A target that is silent
+    /// gets one election timeout.
     pub transfer_ticks: u32,
-    /// The most entries in one `Append`.
+    /// The maximum number of entries in one `Append`.
     pub max_entries: usize,
-    /// The most bytes of entries in one `Append`; a single larger entry still goes alone.
+    /// The maximum size of the entries in one `Append`, in bytes. A single larger entry is still
+    /// sent, alone.
     pub max_bytes: usize,
     /// The size of one part of a snapshot, in bytes.
     pub snapshot_part: usize,
-    /// Seeds the election timeouts; mixed with the id, so nodes may share one.
+    /// The seed of the election timeouts. It is mixed with the id, so nodes may share a seed.
     pub seed: u64,
 }
 
-/// What the data folder held. The default is an empty folder.
+/// The contents of the data folder. The default is an empty folder.
 ///
-/// A new cluster starts from one node whose snapshot has index 1, term 1 and a membership with
-/// that node as the only voter. Index 0 would not do: others receive a snapshot only if they lack
-/// entries before it.
+/// A new cluster starts from one node whose snapshot has index 1, term 1 and a membership with that
+/// node as the only voter. The index must not be 0: other nodes are sent the snapshot only if they
+/// lack entries before it.
 #[derive(Clone, Debug, Default)]
 pub struct Restored {
-    /// The last hard state written.
-    pub hard: HardState,
+    /// The hard state that was written last.
+    pub hard_state: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// The entries, without gaps; those that the snapshot covers may still be among them.
+    /// The entries, without gaps. Entries that the snapshot covers may still be among them.
     pub entries: Vec<Entry>,
 }
 
-/// The node does not lead, or is about to hand over.
+/// The error of a call on a node that does not lead, or that is transferring its leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotLeader {
     /// The leader, if known.
@@ -72,17 +75,17 @@
 
 impl std::error::Error for NotLeader {}
 
-/// Tells why a change of members was refused.
+/// The reasons to refuse a change of the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeError {
     /// The node does not lead.
     NotLeader(NotLeader),
     /// The previous change is not committed yet.
-    UnderWay,
-    /// The leader has not committed an entry of its own term, or the new voter does not hold the
-    /// log yet. Worth a retry.
-    Unready,
-    /// The membership may not follow the present one.
+    InProgress,
+    /// The leader has not committed an entry of its own term yet, or the new voter does not hold
+    /// the committed log yet. The caller may retry.
+    NotReady,
+    /// The membership must not follow the current one.
     Invalid(&'static str),
 }
 
@@ -90,8 +93,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotLeader(error) => error.fmt(f),
-            Self::UnderWay => f.write_str("the previous change of members is not committed yet"),
-            Self::Unready => f.write_str("the leader or the new voter is not ready; retry"),
+            Self::InProgress => f.write_str("the previous change of members is not committed yet"),
+            Self::NotReady => f.write_str("the leader or the new voter is not ready; retry"),
             Self::Invalid(reason) => f.write_str(reason),
         }
     }
@@ -99,12 +102,12 @@
 
 impl std::error::Error for ChangeError {}
 
-/// Where a proposal stands in the log. It is committed if the entry that is committed at `index`
-/// has this `term`; with another term it is lost.
+/// The position of a proposal in the log. The proposal is committed if the entry committed at
+/// `index` has this `term`; if that entry has another term, the proposal is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The term in which it was proposed.
+    /// The term in which the entry was proposed.
     pub term: Term,
-    /// Its index.
+    /// The index of the entry.
     pub index: LogIndex,
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,14 +1,15 @@
 //! The replicated log as a deterministic state machine (Raft).
 //!
-//! Messages, ticks and proposals go in; a [`Ready`] with writes, messages and committed entries
-//! comes out. No I/O, no clock and no other source of randomness than [`Config::seed`]: the same
-//! calls give the same results.
+//! The inputs are messages, ticks and proposals; the output is a [`Ready`] with writes, messages
+//! and committed entries. The crate does no I/O and reads no clock, and its only source of
+//! randomness is [`Config::seed`]: the same calls give the same results.
 //!
-//! The driver's loop: feed [`Node::tick`], [`Node::step`], [`Node::propose`] and the rest; while
-//! [`Node::has_work`], take one [`Node::ready`], start to write its hard state, snapshot and entries,
-//! send its `early` messages, apply its committed entries and answer its reads. Once the writes are
-//! synced, call [`Node::synced`] and send its `messages`. A driver need not wait for its disk in
-//! between: what needs no disk (heartbeats, their answers, the confirmation of reads) goes on.
+//! The driver calls [`Node::tick`], [`Node::step`], [`Node::propose`] and the other inputs. While
+//! [`Node::has_work`] returns true, it takes one [`Node::ready`], starts to write its hard state,
+//! snapshot and entries, sends its `immediate` messages, applies its committed entries and answers
+//! its reads. Once the writes are synced, it calls [`Node::synced`] and sends the `messages`. The
+//! driver need not wait for its disk in between: heartbeats, their replies and the confirmation of
+//! reads need no disk and continue.
 
 mod config;
 mod election;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,39 +1,40 @@
-//! The data that goes into and comes out of the state machine.
+//! The types of the state machine's input and output.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use types::{LogIndex, NodeId, Term};
 
-/// What must survive a restart besides log and snapshot.
+/// The part of a node's state, besides log and snapshot, that must survive a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The highest term seen.
     pub term: Term,
-    /// The candidate that got this node's vote in that term.
+    /// The candidate that this node voted for in that term.
     pub vote: Option<NodeId>,
-    /// An index known to be committed; may lag, and is never ahead of the log on disk.
+    /// An index known to be committed. It may lag behind, and is never ahead of the log on disk.
     pub commit: LogIndex,
 }
 
-/// Who takes part in the log. A change adds or removes at most one voter; to replace one takes two
-/// changes, since {A, B, C} and {A, B, D} have quorums that do not meet.
+/// The members of the cluster. A change adds or removes at most one voter. Replacing a voter takes
+/// two changes, since {A, B, C} and {A, B, D} have quorums that do not intersect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// The nodes whose votes count, with an opaque address that the driver understands.
+    /// The voters, each with an opaque address for the driver.
     pub voters: BTreeMap<NodeId, Vec<u8>>,
-    /// The nodes that only follow.
+    /// The learners, each with an opaque address for the driver. They replicate the log without a
+    /// vote.
     pub learners: BTreeMap<NodeId, Vec<u8>>,
 }
 
-/// What a log entry carries.
+/// The payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: a new leader commits one in its own term first.
+    /// No payload. A new leader commits such an entry in its own term first.
     Empty,
-    /// A command for the state.
+    /// A command for the replicated state.
     Command(Vec<u8>),
-    /// A new membership, in force as soon as it is in the log.
+    /// A new membership; it is in force as soon as the entry is in the log.
     Membership(Membership),
 }
 
@@ -42,22 +43,22 @@
 pub struct Entry {
     /// The term in which it was proposed.
     pub term: Term,
-    /// Its position.
+    /// The index of the entry.
     pub index: LogIndex,
-    /// What it carries.
+    /// The payload.
     pub payload: Payload,
 }
 
-/// A snapshot of the state, taken after `index`.
+/// A snapshot of the replicated state after the entry at `index`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last index it covers.
+    /// The last index that the snapshot covers.
     pub index: LogIndex,
     /// The term of that index.
     pub term: Term,
     /// The membership at that index.
     pub membership: Membership,
-    /// The state.
+    /// The encoded state.
     pub data: Vec<u8>,
 }
 
@@ -68,16 +69,16 @@
     pub from: NodeId,
     /// The receiver.
     pub to: NodeId,
-    /// The sender's term; for pre-votes the term it would start.
+    /// The sender's term. For a pre-vote, the term that the sender would campaign in.
     pub term: Term,
-    /// The kind.
+    /// The content.
     pub body: Body,
 }
 
-/// The kinds of messages.
+/// The kinds of messages and their contents.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether a vote would be granted, without raising the term.
+    /// Asks whether the receiver would grant a vote. Raises no term.
     PreVote {
         /// The last index of the candidate's log.
         index: LogIndex,
@@ -89,21 +90,22 @@
         /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
         /// The last index of the candidate's log.
         index: LogIndex,
         /// The term of that index.
         term: Term,
-        /// The leader handed over: grant although a leader was heard of lately.
+        /// Whether the leader transferred its leadership to the candidate. The receiver may then
+        /// grant the vote although it recently heard from a leader.
         transfer: bool,
     },
-    /// Answers a request for a vote.
+    /// Answers a vote request.
     VoteReply {
-        /// Whether it is granted.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Replicates entries, and is the heartbeat.
+    /// Replicates entries. Without entries, it is a heartbeat.
     Append {
         /// The index before the first entry.
         prior: LogIndex,
@@ -113,82 +115,83 @@
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: LogIndex,
-        /// The latest read round, to be repeated by the reply.
+        /// The number of the latest read round, which the reply repeats.
         round: u64,
     },
     /// Answers `Append`.
     AppendReply {
-        /// Whether the entries are on the follower's disk.
+        /// Whether the entries match the log and are on the follower's disk up to `index`.
         accepted: bool,
-        /// The follower's last index that matches, or a hint of where to go on.
+        /// The last index that matches; for a rejection, a hint at the last index that may match.
         index: LogIndex,
         /// The read round of the `Append`.
         round: u64,
     },
-    /// A part of a snapshot.
+    /// Carries a part of a snapshot.
     SnapshotPart {
-        /// Index, term and membership, without data.
+        /// The snapshot without its data.
         head: Snapshot,
-        /// The position of the part in the data.
+        /// The offset of the part in the data, in bytes.
         offset: u64,
         /// The part.
         part: Vec<u8>,
-        /// The length of all data.
+        /// The length of the data, in bytes.
         total: u64,
     },
     /// Answers a part of a snapshot.
     SnapshotReply {
         /// The snapshot's index.
         index: LogIndex,
-        /// The position from which to go on; the total length once it is installed.
+        /// The offset of the next part, in bytes; the total length once the snapshot is installed.
         offset: u64,
     },
-    /// Tells a follower to start an election at once.
+    /// Tells a voter to start an election at once.
     TransferNow,
 }
 
-/// A node's part.
+/// The role of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Replicates without a vote.
+    /// Replicates the log without a vote.
     Learner,
-    /// Replicates and votes.
+    /// Replicates the log and votes.
     #[default]
     Follower,
-    /// Asks whether an election could be won.
+    /// Asks the other voters in a pre-vote whether it could win an election.
     PreCandidate,
-    /// Stands for election.
+    /// Campaigns to become the leader.
     Candidate,
-    /// Leads.
+    /// Leads the cluster.
     Leader,
 }
 
-/// What the driver has to do. Only `messages` wait for the writes; all else may be done at once.
+/// The work for the driver. Only `messages` must wait for the writes; the rest may be done at once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ready {
     /// The hard state to write, if it changed.
-    pub hard: Option<HardState>,
-    /// A snapshot received from the leader: replaces log and state, before `committed` is applied.
+    pub hard_state: Option<HardState>,
+    /// A snapshot from the leader, to write. It replaces the log and the state before `committed`
+    /// is applied.
     pub snapshot: Option<Snapshot>,
-    /// Entries to write; they replace whatever the log holds from their first index on.
+    /// Entries to write. They replace the log from the first of their indexes on.
     pub entries: Vec<Entry>,
-    /// Messages that vouch for nothing that is not on the disk yet; they may go out at once.
+    /// Messages that depend on no pending write; they may be sent at once.
     pub early: Vec<Message>,
-    /// Messages that may go out once the writes are synced.
+    /// Messages that may be sent once the writes are synced.
     pub messages: Vec<Message>,
-    /// Entries that are committed and to be applied, in order. A quorum holds them on disk; this
-    /// node may not yet.
+    /// Committed entries to apply, in order. A quorum has them on disk; this node may not have them
+    /// on its own disk yet.
     pub committed: Vec<Entry>,
-    /// Reads that a quorum confirmed: each may be answered once its index is applied.
+    /// Confirmed reads, as id and index. Each may be answered once its index is applied.
     pub reads: Vec<(u64, LogIndex)>,
-    /// Reads that are refused, for leadership was lost.
+    /// The ids of reads that failed because leadership was lost.
     pub lost_reads: Vec<u64>,
 }
 
 impl Ready {
-    /// Whether there is anything to write.
+    /// Returns whether there is anything to write.
     pub fn writes(&self) -> bool {
-        self.hard.is_some() || self.snapshot.is_some() || !self.entries.is_empty()
+        self.hard_state.is_some() || self.snapshot.is_some() || !self.entries.is_empty()
     }
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: its state, and where ticks, messages and proposals enter.
+//! The node: its state, and the entry points for ticks, messages and proposals.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,18 @@
 
 use crate::config::{Config, NotLeader, Position, Restored};
 use crate::election::LogEnd;
-use crate::lag::Lag;
+use crate::lag::DiskLag;
 use crate::log::Log;
 use crate::message::{Body, HardState, Message, Payload, Role, Snapshot};
 use crate::progress::Progress;
 use crate::random::Random;
 use crate::reads::Reads;
 use crate::replication::Append;
-use crate::snapshot::{Part, Partial};
-use crate::sync::Sync;
+use crate::snapshot::{PartialSnapshot, ReceivedPart};
+use crate::sync::DiskSync;
 use crate::transfer::Transfer;
 
-/// One member of the replicated log.
+/// A member of the cluster that replicates the log.
 #[derive(Clone, Debug)]
 pub struct Node {
     pub(crate) config: Config,
@@ -27,80 +27,81 @@
     pub(crate) leader: Option<NodeId>,
     pub(crate) log: Log,
     pub(crate) commit: LogIndex,
-    /// The last index handed out to be applied.
+    /// The last index handed to the driver to apply.
     pub(crate) applied: LogIndex,
-    /// The ticks since the leader was heard of, or since a leader's last check for a quorum.
+    /// The ticks since the last message from the leader. On a leader, the ticks since the last
+    /// quorum check.
     pub(crate) elapsed: u32,
-    /// The election timeout drawn last, in ticks.
+    /// The current election timeout, in ticks.
     pub(crate) timeout: u32,
-    /// What slow disks add to it while an election is under way, in ticks.
-    pub(crate) allowance: u32,
-    /// The ticks since a leader's last heartbeat.
-    pub(crate) beat: u32,
+    /// The ticks that slow disks add to the timeout during an election.
+    pub(crate) timeout_extension: u32,
+    /// The ticks since the leader sent its last heartbeat.
+    pub(crate) heartbeat_elapsed: u32,
     pub(crate) random: Random,
     pub(crate) votes: BTreeMap<NodeId, bool>,
-    /// A leader's view of the others.
+    /// The leader's view of the other nodes.
     pub(crate) peers: BTreeMap<NodeId, Progress>,
     pub(crate) transfer: Option<Transfer>,
-    /// The last index of a leader's log when it was elected.
-    pub(crate) inherited: LogIndex,
+    /// The last index of the leader's log when it was elected.
+    pub(crate) election_last: LogIndex,
     pub(crate) reads: Reads,
-    pub(crate) partial: Option<Partial>,
-    /// A snapshot that the driver is yet to be given.
-    pub(crate) installed: Option<Snapshot>,
-    /// Messages that wait for the writes before them.
+    pub(crate) partial: Option<PartialSnapshot>,
+    /// An installed snapshot that was not handed to the driver yet.
+    pub(crate) new_snapshot: Option<Snapshot>,
+    /// Messages that must wait for the writes before them.
     pub(crate) outbox: Vec<Message>,
-    /// Messages that need not wait.
+    /// Messages that may be sent at once.
     pub(crate) early: Vec<Message>,
-    /// The hard state that the driver was given last.
-    pub(crate) written: HardState,
-    pub(crate) sync: Sync,
-    pub(crate) lag: Lag,
+    /// The hard state that was handed to the driver last.
+    pub(crate) written_state: HardState,
+    pub(crate) sync: DiskSync,
+    pub(crate) lag: DiskLag,
 }
 
 impl Node {
-    /// Starts a node from what its data folder held.
+    /// Creates a node from the contents of its data folder.
     pub fn new(config: Config, restored: Restored) -> Self {
-        let Restored { hard, snapshot, entries } = restored;
+        let Restored { hard_state, snapshot, entries } = restored;
         let log = Log::new(snapshot, entries);
         let applied = log.base();
         let mut random = Random::new(config.seed, config.id);
         let timeout = random.timeout(config.first_ticks.min(config.election_ticks));
-        let votes = log.membership().is_voter(config.id);
+        let is_voter = log.membership().is_voter(config.id);
         Self {
-            term: hard.term.max(log.last_term()),
-            vote: if hard.term >= log.last_term() { hard.vote } else { None },
-            role: if votes { Role::Follower } else { Role::Learner },
+            term: hard_state.term.max(log.last_term()),
+            vote: if hard_state.term >= log.last_term() { hard_state.vote } else { None },
+            role: if is_voter { Role::Follower } else { Role::Learner },
             leader: None,
-            commit: hard.commit.clamp(applied, log.last()),
+            commit: hard_state.commit.clamp(applied, log.last()),
             applied,
             elapsed: 0,
             timeout,
-            allowance: 0,
-            beat: 0,
+            timeout_extension: 0,
+            heartbeat_elapsed: 0,
             random,
             votes: BTreeMap::new(),
             peers: BTreeMap::new(),
             transfer: None,
-            inherited: LogIndex(0),
+            election_last: LogIndex(0),
             reads: Reads::default(),
             partial: None,
-            installed: None,
+            new_snapshot: None,
             outbox: Vec::new(),
             early: Vec::new(),
-            written: hard,
-            sync: Sync::new(&hard),
-            lag: Lag::default(),
+            written_state: hard_state,
+            sync: DiskSync::new(&hard_state),
+            lag: DiskLag::default(),
             log,
             config,
         }
     }
 
-    /// Lets one tick pass.
+    /// Advances the node's time by one tick.
     pub fn tick(&mut self) {
         self.sync.tick();
-        // A vote that is being written can't be given to another, and must not be given up before
-        // it has left: on slow disks no election would ever end.
+        // While a vote is being written it can't be given to another candidate, and the node must
+        // not campaign anew before that vote is sent: on slow disks no election would ever end.
         if self.role != Role::Leader && !self.is_term_durable() {
             return;
         }
@@ -109,60 +110,63 @@
             self.tick_leader();
             return;
         }
-        if self.elapsed < self.timeout.saturating_add(self.allowance) {
+        if self.elapsed < self.timeout.saturating_add(self.timeout_extension) {
             return;
         }
-        if self.can_stand() {
-            self.ask_votes();
+        if self.can_campaign() {
+            self.start_pre_vote();
         } else {
             self.leader = None;
         }
     }
 
-    /// Proposes a command. It is accepted only once it is committed with the returned term.
+    /// Proposes a command. It is accepted once the entry committed at the returned index has the
+    /// returned term.
     ///
     /// # Errors
     ///
-    /// Refuses on a node that does not lead or hands over.
+    /// Refuses on a node that does not lead or that is transferring its leadership.
     pub fn propose(&mut self, data: Vec<u8>) -> Result<Position, NotLeader> {
         self.check_leading()?;
         Ok(self.append(Payload::Command(data)))
     }
 
-    /// Gives the term of the entry at `index`; `None` if it was compacted or lies beyond the end.
+    /// Returns the term of the entry at `index`, or `None` if the entry was compacted or lies
+    /// beyond the end.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         self.log.term(index)
     }
 
-    /// Refuses unless the node leads and keeps leading.
+    /// Refuses unless the node leads and is not transferring its leadership.
     pub(crate) fn check_leading(&self) -> Result<(), NotLeader> {
         if self.role != Role::Leader {
             return Err(NotLeader { leader: self.leader });
         }
-        // An heir must hold the whole log, so the log must not grow meanwhile.
+        // The target of a transfer must hold the whole log, so the log must not grow meanwhile.
         if self.transfer.is_some() {
             return Err(NotLeader { leader: None });
         }
         Ok(())
     }
 
-    /// Queues a message in the present term, to go out once all before it is on the disk.
+    /// Queues a message in the current term, to be sent once the writes before it are on disk.
     pub(crate) fn send(&mut self, to: NodeId, body: Body) {
         self.send_in(self.term, to, body);
     }
 
-    /// Queues a message that vouches for nothing on the disk, to go out at once.
+    /// Queues a message that depends on no pending write, to be sent at once.
     pub(crate) fn send_early(&mut self, to: NodeId, body: Body) {
         self.send_early_in(self.term, to, body);
     }
 
-    /// The same with `term` in the message.
+    /// Queues a message with the given term, to be sent at once.
     pub(crate) fn send_early_in(&mut self, term: Term, to: NodeId, body: Body) {
         self.early.push(Message { from: self.config.id, to, term, body });
     }
 
-    /// Queues a leader's message. It waits where the present term is not on the disk yet, as in a sole
-    /// voter: a crash could take the term back, and another log be written in it.
+    /// Queues a leader's message. It waits while the current term is not on disk, which happens
+    /// where this node is the sole voter: a crash could undo the term, and another log could be
+    /// written in it.
     pub(crate) fn send_as_leader(&mut self, to: NodeId, body: Body) {
         if self.is_term_durable() {
             self.send_early(to, body);
@@ -171,12 +175,12 @@
         }
     }
 
-    /// Queues a message in `term`.
+    /// Queues a message with the given term, to be sent once the writes before it are on disk.
     pub(crate) fn send_in(&mut self, term: Term, to: NodeId, body: Body) {
         self.outbox.push(Message { from: self.config.id, to, term, body });
     }
 
-    /// Takes a message.
+    /// Handles a received message. Messages for other nodes are ignored.
     pub fn step(&mut self, message: Message) {
         let Message { from, to, term, body } = message;
         if to != self.config.id || from == to {
@@ -187,15 +191,15 @@
             return;
         }
         if let Body::PreVoteReply { granted: true } = body {
-            // Carries the term that was asked about, which nobody has entered yet.
+            // The term of the reply is the requested one, which no node has entered yet.
             if term.0 == self.term.0 + 1 {
                 self.on_pre_vote_reply(from, true);
             }
             return;
         }
         if term < self.term {
-            if !self.answer_as_durable(from, term, &body) {
-                self.refuse_old(from, &body);
+            if !self.answer_in_durable_term(from, term, &body) {
+                self.reject_stale(from, &body);
             }
             return;
         }
@@ -208,8 +212,8 @@
         self.dispatch(from, body);
     }
 
-    /// Tells an outdated sender the present term, so that it steps down.
-    fn refuse_old(&mut self, from: NodeId, body: &Body) {
+    /// Tells a sender with an older term the current term, so that it steps down.
+    fn reject_stale(&mut self, from: NodeId, body: &Body) {
         let reply = match body {
             Body::Append { round, .. } => {
                 Body::AppendReply { accepted: false, index: self.commit, round: *round }
@@ -221,7 +225,7 @@
         self.send(from, reply);
     }
 
-    /// Handles a message of the present term.
+    /// Handles a message of the current term.
     fn dispatch(&mut self, from: NodeId, body: Body) {
         match body {
             Body::Append { prior, prior_term, entries, commit, round } => {
@@ -231,7 +235,7 @@
             }
             Body::SnapshotPart { head, offset, part, total } => {
                 if self.follow(from) {
-                    self.on_part(from, Part { head, offset, data: part, total });
+                    self.on_part(from, ReceivedPart { head, offset, data: part, total });
                 }
             }
             Body::Vote { index, term, .. } => self.on_vote(from, LogEnd { index, term }),
@@ -246,10 +250,15 @@
         }
     }
 
-    /// Follows the leader of the present term, from whom a message came.
+    /// Records `from` as the leader of the current term, after a message that only a leader sends.
+    /// Returns whether to handle the message; false if this node leads the same term.
     fn follow(&mut self, from: NodeId) -> bool {
         if self.role == Role::Leader {
-            log::error!("nodes {} and {from} both lead term {}", self.config.id, self.term);
+            log::error!(
+                "node {} ignores a message from node {from}: both lead term {}",
+                self.config.id,
+                self.term
+            );
             return false;
         }
         if matches!(self.role, Role::Candidate | Role::PreCandidate) {
@@ -257,7 +266,7 @@
         }
         self.leader = Some(from);
         self.elapsed = 0;
-        self.allowance = 0;
+        self.timeout_extension = 0;
         true
     }
 }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows about one peer.
+//! The leader's view of one peer.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,46 +8,46 @@
 use crate::message::Snapshot;
 use crate::status::PeerStatus;
 
-/// The most `Append` messages under way to one peer.
-const MAX_INFLIGHT: usize = 32;
+/// The maximum number of `Append` messages in flight to one peer.
+const MAX_IN_FLIGHT: usize = 32;
 
-/// A snapshot on its way. It is kept until it has arrived, even if a newer one exists: switching
-/// would let a slow peer start over for ever.
+/// A snapshot in flight to a peer. It is kept until the peer has received all of it, even if a
+/// newer one exists: with a switch to the newer one, a slow peer might start over forever.
 #[derive(Clone, Debug)]
-pub(crate) struct Transmission {
+pub(crate) struct SnapshotTransmission {
     pub(crate) snapshot: Arc<Snapshot>,
     pub(crate) offset: u64,
 }
 
-/// How entries go to a peer.
+/// The way in which a peer receives the log.
 #[derive(Clone, Debug)]
 pub(crate) enum Mode {
-    /// The matching index is unknown: one `Append` at a time.
+    /// The matching index is unknown, so one `Append` is sent at a time.
     Probe {
-        /// Whether an answer is awaited.
+        /// Whether the reply to that `Append` is still missing.
         waiting: bool,
     },
-    /// Several `Append`s may be under way; holds the last index of each.
+    /// Several `Append`s may be in flight. Holds the last index of each.
     Stream(VecDeque<LogIndex>),
-    /// The peer needs entries that are gone.
-    Snapshot(Transmission),
+    /// The peer needs entries that were compacted, so it receives a snapshot.
+    Snapshot(SnapshotTransmission),
 }
 
-/// A peer's progress.
+/// The replication progress of a peer.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
     /// The highest index known to be on the peer's disk.
     pub(crate) matched: LogIndex,
-    /// The next index to send.
+    /// The index of the next entry to send.
     pub(crate) next: LogIndex,
     /// The highest commit index sent.
-    pub(crate) told: LogIndex,
-    /// The latest read round answered.
+    pub(crate) sent_commit: LogIndex,
+    /// The number of the latest read round that the peer answered.
     pub(crate) round: u64,
-    /// Whether a reply came since the last check for a quorum.
-    pub(crate) heard: bool,
-    /// Whether a reply came in the period before that check.
-    pub(crate) lately: bool,
+    /// Whether the peer replied since the last quorum check.
+    pub(crate) replied: bool,
+    /// Whether the peer replied in the period before the last quorum check.
+    pub(crate) replied_before: bool,
     pub(crate) mode: Mode,
 }
 
@@ -56,30 +56,30 @@
         Self {
             matched: LogIndex(0),
             next,
-            told: LogIndex(0),
+            sent_commit: LogIndex(0),
             round: 0,
-            heard: false,
-            lately: false,
+            replied: false,
+            replied_before: false,
             mode: Mode::Probe { waiting: false },
         }
     }
 
-    /// Whether the peer was heard of lately.
+    /// Returns whether the peer replied in the current or the previous quorum check period.
     pub(crate) fn is_active(&self) -> bool {
-        self.heard || self.lately
+        self.replied || self.replied_before
     }
 
-    /// Whether another `Append` with entries may go out.
+    /// Returns whether another `Append` with entries may be sent.
     pub(crate) fn has_room(&self) -> bool {
         match &self.mode {
             Mode::Probe { waiting } => !waiting,
-            Mode::Stream(inflight) => inflight.len() < MAX_INFLIGHT,
+            Mode::Stream(inflight) => inflight.len() < MAX_IN_FLIGHT,
             Mode::Snapshot(_) => false,
         }
     }
 
-    /// Notes that entries up to `last` went out.
-    pub(crate) fn sent(&mut self, last: LogIndex) {
+    /// Records that entries up to `last` were sent.
+    pub(crate) fn on_sent(&mut self, last: LogIndex) {
         match &mut self.mode {
             Mode::Probe { waiting } => *waiting = true,
             Mode::Stream(inflight) => {
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Takes an acceptance up to `index`.
-    pub(crate) fn accepted(&mut self, index: LogIndex) {
+    /// Handles an `Append` that was accepted up to `index`.
+    pub(crate) fn on_accepted(&mut self, index: LogIndex) {
         self.matched = self.matched.max(index);
         self.next = self.next.max(LogIndex(self.matched.0 + 1));
         match &mut self.mode {
@@ -105,11 +105,11 @@
         }
     }
 
-    /// Takes a refusal with a hint of the last index that may match.
-    pub(crate) fn refused(&mut self, hint: LogIndex) {
+    /// Handles a rejected `Append`; `hint` is the last index that may match.
+    pub(crate) fn on_rejected(&mut self, hint: LogIndex) {
         let next = LogIndex(hint.0.max(self.matched.0) + 1);
-        // A refusal that leads no further back is a late or doubled one; to follow it would send
-        // the same entries once per copy.
+        // A rejection that moves `next` no further back is a late or duplicate one. Acting on it
+        // would send the same entries once per copy.
         if next >= self.next || matches!(self.mode, Mode::Snapshot(_)) {
             return;
         }
@@ -117,24 +117,24 @@
         self.mode = Mode::Probe { waiting: false };
     }
 
-    /// Allows another `Append` in place of one whose answer may be lost.
+    /// Allows another `Append` in place of one whose reply may be lost.
     pub(crate) fn retry(&mut self) {
         if let Mode::Probe { waiting } = &mut self.mode {
             *waiting = false;
         }
     }
 
-    /// Ends a snapshot that the peer holds now.
-    pub(crate) fn installed(&mut self, index: LogIndex) {
+    /// Ends the transmission of a snapshot that the peer has installed.
+    pub(crate) fn finish_snapshot(&mut self, index: LogIndex) {
         self.matched = self.matched.max(index);
         self.next = LogIndex(self.matched.0 + 1);
         self.mode = Mode::Probe { waiting: false };
     }
 
-    /// Starts a period of the check for a quorum.
+    /// Starts a new quorum check period.
     pub(crate) fn start_period(&mut self) {
-        self.lately = self.heard;
-        self.heard = false;
+        self.replied_before = self.replied;
+        self.replied = false;
     }
 
     pub(crate) fn status(&self) -> PeerStatus {
--- a/crates/consensus/src/random.rs
+++ b/crates/consensus/src/random.rs
@@ -1,13 +1,13 @@
-//! A small generator for election timeouts.
+//! A small random number generator for election timeouts.
 
 use types::NodeId;
 
-/// A splitmix64 generator: spread, not secrecy, is what timeouts need.
+/// A splitmix64 generator. Timeouts need an even spread, not secrecy.
 #[derive(Clone, Debug)]
 pub(crate) struct Random(u64);
 
 impl Random {
-    /// Mixes the id into the seed, so that nodes with one seed draw different timeouts.
+    /// Mixes the id into the seed, so that nodes with the same seed draw different timeouts.
     pub(crate) fn new(seed: u64, id: NodeId) -> Self {
         Self(seed ^ id.0.wrapping_mul(0x9e37_79b9_7f4a_7c15))
     }
--- a/crates/consensus/src/reads.rs
+++ b/crates/consensus/src/reads.rs
@@ -1,8 +1,8 @@
-//! Reads that a quorum confirms.
+//! Reads that are confirmed by a quorum.
 //!
-//! A leader that was cut off or frozen does not know that another one has committed since, and a
-//! clock can't tell it. So a read is answered only after a majority replied, in the leader's
-//! term, to a round that began after the read was asked.
+//! A leader that was partitioned away or paused does not know whether another leader has committed
+//! entries since, and a clock can't tell it. So a read is answered only after a majority has
+//! replied, in the leader's term, to a round that began after the read was requested.
 
 use types::LogIndex;
 
@@ -10,17 +10,17 @@
 use crate::message::Role;
 use crate::node::Node;
 
-/// A round under way and the reads it serves.
+/// A round in flight and the reads that it confirms.
 #[derive(Clone, Debug)]
 struct Round {
     index: LogIndex,
     ids: Vec<u64>,
 }
 
-/// The reads of a leader.
+/// The reads requested from a leader.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Reads {
-    /// The number of the latest round. It never falls, so a late reply confirms no later round.
+    /// The number of the latest round. It never decreases, so a late reply confirms no later round.
     number: u64,
     waiting: Vec<u64>,
     round: Option<Round>,
@@ -29,23 +29,23 @@
 }
 
 impl Reads {
-    /// The number of the latest round, which every `Append` carries.
+    /// Returns the number of the latest round, which every `Append` carries.
     pub(crate) fn number(&self) -> u64 {
         self.number
     }
 
-    /// Whether a new round could begin.
-    pub(crate) fn is_startable(&self) -> bool {
+    /// Returns whether reads wait and no round is in flight.
+    pub(crate) fn can_start(&self) -> bool {
         self.round.is_none() && !self.waiting.is_empty()
     }
 
-    /// Whether there are answers to hand out.
+    /// Returns whether there are results to hand out.
     pub(crate) fn has_answers(&self) -> bool {
         !self.confirmed.is_empty() || !self.lost.is_empty()
     }
 
-    /// Gives up all reads, since leadership is lost.
-    pub(crate) fn abandon(&mut self) {
+    /// Fails all reads, because leadership is lost.
+    pub(crate) fn fail_all(&mut self) {
         if let Some(round) = self.round.take() {
             self.lost.extend(round.ids);
         }
@@ -53,20 +53,20 @@
         self.lost.extend(self.confirmed.drain(..).map(|(id, _)| id));
     }
 
-    /// Takes the confirmed reads.
+    /// Removes and returns the confirmed reads.
     pub(crate) fn take_confirmed(&mut self) -> Vec<(u64, LogIndex)> {
         std::mem::take(&mut self.confirmed)
     }
 
-    /// Takes the lost reads.
+    /// Removes and returns the ids of the failed reads.
     pub(crate) fn take_lost(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.lost)
     }
 }
 
 impl Node {
-    /// Asks for a confirmed index at which a read may be answered. The answer comes by
-    /// `Ready::reads` or `Ready::lost_reads`, with `id`. All reads that wait share one round.
+    /// Requests an index at which a read may be answered. The result is in `Ready::reads` or
+    /// `Ready::lost_reads`, under `id`. All waiting reads share one round.
     ///
     /// # Errors
     ///
@@ -79,15 +79,15 @@
         Ok(())
     }
 
-    /// Whether a round of reads can begin: a new leader holds all that earlier ones committed, but
-    /// knows how far that goes only once it has committed an entry of its own term, or knew already
-    /// that its whole log is committed.
+    /// Returns whether a round of reads can begin. A new leader holds all entries that earlier
+    /// leaders committed, but learns which of them are committed only when it commits an entry of
+    /// its own term, unless it already knew that its whole log is committed.
     pub(crate) fn can_start_round(&self) -> bool {
         let leads = self.role == Role::Leader;
-        self.reads.is_startable() && leads && self.commit >= self.inherited
+        self.reads.can_start() && leads && self.commit >= self.election_last
     }
 
-    /// Begins a round for all reads that wait.
+    /// Begins a round for all waiting reads.
     pub(crate) fn start_round(&mut self) {
         if !self.can_start_round() {
             return;
@@ -99,14 +99,14 @@
         self.finish_round();
     }
 
-    /// Confirms the round's reads if a majority has answered it.
+    /// Confirms the reads of the round if a majority has replied to it.
     pub(crate) fn finish_round(&mut self) {
         let number = self.reads.number;
         let answered = |id| match self.peers.get(&id) {
             Some(peer) => peer.round >= number,
             None => id == self.config.id,
         };
-        if self.reads.round.is_none() || !self.membership().agrees(answered) {
+        if self.reads.round.is_none() || !self.membership().has_quorum(answered) {
             return;
         }
         if let Some(round) = self.reads.round.take() {
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,4 +1,4 @@
-//! What a node tells about itself.
+//! The status of a node.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +7,32 @@
 use crate::message::Role;
 use crate::node::Node;
 
-/// A node's view of itself and, if it leads, of its peers.
+/// A node's status and, if it leads, that of its peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// The node.
+    /// The id of the node.
     pub id: NodeId,
     /// The highest term seen.
     pub term: Term,
-    /// The node's part.
+    /// The role of the node.
     pub role: Role,
     /// The leader, if known.
     pub leader: Option<NodeId>,
     /// The highest committed index.
     pub commit: LogIndex,
-    /// The highest index handed out to be applied.
+    /// The highest index handed to the driver to apply.
     pub applied: LogIndex,
-    /// The first index still in the log.
+    /// The index of the first entry in the log.
     pub first: LogIndex,
-    /// The last index in the log.
+    /// The index of the last entry in the log.
     pub last: LogIndex,
-    /// Whether an entry of the node's own term is committed; only then may it change members and
-    /// confirm reads.
+    /// Whether the node leads and an entry of its own term is committed; only then may it change
+    /// the membership. Until then it confirms reads only if its whole log was known to be
+    /// committed.
     pub settled: bool,
-    /// Whether leadership is being handed over.
+    /// Whether a transfer of leadership is in progress.
     pub transferring: bool,
-    /// The peers; empty unless the node leads.
+    /// The peers, by id; empty unless the node leads.
     pub peers: BTreeMap<NodeId, PeerStatus>,
 }
 
@@ -40,14 +41,14 @@
 pub struct PeerStatus {
     /// The highest index known to be on the peer's disk.
     pub matched: LogIndex,
-    /// Whether the peer was heard of within the last election timeout or two.
+    /// Whether the peer replied within the current or the previous election timeout.
     pub active: bool,
-    /// Whether a snapshot is being sent.
+    /// Whether the peer is being sent a snapshot.
     pub snapshot: bool,
 }
 
 impl Node {
-    /// Describes the node.
+    /// Returns the status of the node.
     pub fn status(&self) -> Status {
         let peers = self.peers.iter().map(|(&id, peer)| (id, peer.status()));
         Status {
--- a/crates/consensus/src/sync.rs
+++ b/crates/consensus/src/sync.rs
@@ -1,23 +1,23 @@
-//! What of the node's state is on the disk, and how long the disk takes.
+//! The writes in flight, and the term and vote that are on disk.
 
 use types::{NodeId, Term};
 
 use crate::message::HardState;
 
-/// The writes that the driver was handed, and the vote that is on the disk.
+/// The state of the driver's writes, and the term and vote that are on disk.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sync {
-    /// Whether writes are under way.
+pub(crate) struct DiskSync {
+    /// Whether writes are in flight.
     writing: bool,
-    /// The ticks since they began.
+    /// The ticks since those writes were handed out.
     ticks: u32,
     durable: (Term, Option<NodeId>),
 }
 
-impl Sync {
-    /// Begins with the hard state that was restored.
-    pub(crate) fn new(hard: &HardState) -> Self {
-        Self { writing: false, ticks: 0, durable: (hard.term, hard.vote) }
+impl DiskSync {
+    /// Starts with the hard state that was restored.
+    pub(crate) fn new(hard_state: &HardState) -> Self {
+        Self { writing: false, ticks: 0, durable: (hard_state.term, hard_state.vote) }
     }
 
     /// Counts a tick.
@@ -27,38 +27,38 @@
         }
     }
 
-    /// Notes that writes were handed out.
+    /// Records that writes were handed to the driver.
     pub(crate) fn begin(&mut self) {
         self.writing = true;
         self.ticks = 0;
     }
 
-    /// Notes that they are on the disk, with `hard` as the hard state, and returns the ticks that
-    /// they took.
-    pub(crate) fn end(&mut self, hard: &HardState) -> u32 {
+    /// Records that the writes are on disk, with `hard_state` as the hard state. Returns the ticks
+    /// that they took.
+    pub(crate) fn end(&mut self, hard_state: &HardState) -> u32 {
         if std::mem::take(&mut self.writing) {
-            self.durable = (hard.term, hard.vote);
+            self.durable = (hard_state.term, hard_state.vote);
         }
         std::mem::take(&mut self.ticks)
     }
 
-    /// Whether writes are under way.
+    /// Returns whether writes are in flight.
     pub(crate) fn is_writing(&self) -> bool {
         self.writing
     }
 
-    /// Whether writes have been under way for `ticks` or longer.
+    /// Returns whether writes have been in flight for `ticks` or longer.
     pub(crate) fn is_stalled(&self, ticks: u32) -> bool {
         self.writing && self.ticks >= ticks
     }
 
-    /// The term that is on the disk.
+    /// Returns the term that is on disk.
     pub(crate) fn durable_term(&self) -> Term {
         self.durable.0
     }
 
-    /// Whether this term with this vote is on the disk.
-    pub(crate) fn covers(&self, term: Term, vote: Option<NodeId>) -> bool {
+    /// Returns whether this term with this vote is on disk.
+    pub(crate) fn is_durable(&self, term: Term, vote: Option<NodeId>) -> bool {
         self.durable == (term, vote)
     }
 }
--- a/crates/consensus/tests/rules/cluster.rs
+++ b/crates/consensus/tests/rules/cluster.rs
@@ -1,4 +1,5 @@
-//! Nodes that sync at once unless their disk is stalled, on a network that delivers at once unless it is cut.
+//! A cluster whose nodes sync at once unless their disk is stalled, on a network that delivers at
+//! once unless a link is cut.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,17 +8,17 @@
 };
 use types::{LogIndex, NodeId, Term};
 
-pub(crate) const ELECTION: u32 = 10;
+pub(crate) const ELECTION_TICKS: u32 = 10;
 
 pub(crate) fn config(id: u64) -> Config {
     Config {
         id: NodeId(id),
-        election_ticks: ELECTION,
-        first_ticks: ELECTION,
+        election_ticks: ELECTION_TICKS,
+        first_ticks: ELECTION_TICKS,
         heartbeat_ticks: 2,
-        lag_ticks: 3 * ELECTION,
-        stall_ticks: 10 * ELECTION,
-        transfer_ticks: 3 * ELECTION,
+        lag_ticks: 3 * ELECTION_TICKS,
+        stall_ticks: 10 * ELECTION_TICKS,
+        transfer_ticks: 3 * ELECTION_TICKS,
         max_entries: 16,
         max_bytes: 4096,
         snapshot_part: 4,
@@ -30,7 +31,8 @@
     Membership { voters: addresses(voters), learners: addresses(learners) }
 }
 
-/// A disk of a member of `voters` whose entries after index 1 have these terms.
+/// Returns the data folder of a member of `voters`; `entries` holds the terms of the entries after
+/// index 1.
 pub(crate) fn disk(voters: &[u64], term: u64, entries: &[u64]) -> Restored {
     let membership = members(voters, &[]);
     let data = b"0123456789".to_vec();
@@ -41,7 +43,7 @@
         payload: Payload::Empty,
     };
     Restored {
-        hard: HardState { term: Term(term), vote: None, commit: LogIndex(1) },
+        hard_state: HardState { term: Term(term), vote: None, commit: LogIndex(1) },
         snapshot: Some(snapshot),
         entries: entries.iter().enumerate().map(entry).collect(),
     }
@@ -55,17 +57,17 @@
 pub(crate) struct Cluster {
     pub(crate) nodes: BTreeMap<u64, Node>,
     pub(crate) cuts: BTreeSet<(u64, u64)>,
-    /// The nodes whose writes do not end.
+    /// The nodes whose writes never complete.
     pub(crate) stalled: BTreeSet<u64>,
     pub(crate) applied: BTreeMap<u64, Vec<Entry>>,
     pub(crate) reads: Vec<u64>,
     pub(crate) lost: Vec<u64>,
-    /// Everything sent, also what was cut off.
+    /// All messages sent, including those that a cut dropped.
     pub(crate) sent: Vec<Message>,
 }
 
 impl Cluster {
-    /// Voters 1 to `count`; node 1 leads and has committed in its term.
+    /// Creates voters 1 to `count`. Node 1 leads and has committed an entry in its term.
     pub(crate) fn new(count: u64) -> Self {
         let voters: Vec<u64> = (1..=count).collect();
         let node = |&id: &u64| (id, Node::new(config(id), disk(&voters, 1, &[])));
@@ -97,14 +99,14 @@
         }
     }
 
-    /// Cuts the nodes of one side off from those of the other.
+    /// Cuts all links between the two sides.
     pub(crate) fn split(&mut self, one: &[u64], other: &[u64]) {
         for (&a, &b) in one.iter().flat_map(|a| other.iter().map(move |b| (a, b))) {
             self.cuts.extend([(a, b), (b, a)]);
         }
     }
 
-    /// Delivers the last message that was cut off between two nodes.
+    /// Delivers the last message from one node to another, although the link was cut.
     pub(crate) fn deliver_late(&mut self, from: u64, to: u64) {
         let (from, to) = (NodeId(from), NodeId(to));
         let late = self.sent.iter().rfind(|message| message.from == from && message.to == to);
@@ -122,14 +124,14 @@
         }
     }
 
-    /// Lets a node stand at once, as if the leader had handed over.
+    /// Makes a node campaign at once, as if the leader had transferred its leadership.
     pub(crate) fn elect(&mut self, id: u64) {
         let term = self.nodes[&id].status().term.0;
         self.node(id).step(message(0, id, term, Body::TransferNow));
         self.settle();
     }
 
-    /// Runs until nothing is left to do.
+    /// Runs until no node has work left.
     pub(crate) fn settle(&mut self) {
         loop {
             let busy = self.nodes.iter().find(|(_, node)| node.has_work());
--- a/crates/consensus/tests/rules/commits.rs
+++ b/crates/consensus/tests/rules/commits.rs
@@ -3,11 +3,11 @@
 use consensus::{Body, Node, Restored, Snapshot};
 use types::{LogIndex, Term};
 
-use crate::cluster::{Cluster, ELECTION, config, disk, message};
+use crate::cluster::{Cluster, ELECTION_TICKS, config, disk, message};
 
-/// Symptom: a client reads an old value after another client was told of a newer one.
-/// Sequence: the leader is cut off, another one commits, the old one is asked.
-/// Cause: it answered from its own belief.
+/// Guards against a stale read: a client reads an old value after another client was told of a
+/// newer one. The leader is partitioned away, another leader commits, and the old leader answers a
+/// read without asking a quorum.
 #[test]
 fn cut_off_leader_confirms_no_read() {
     let mut cluster = Cluster::new(3);
@@ -20,13 +20,12 @@
     cluster.node(1).read(8).unwrap();
     cluster.settle();
     assert_eq!(cluster.reads, [7]);
-    cluster.tick(2 * ELECTION);
+    cluster.tick(2 * ELECTION_TICKS);
     assert_eq!(cluster.lost, [8]);
 }
 
-/// Symptom: as above, though each read waits for replies of a quorum.
-/// Sequence: replies to a heartbeat from before the read arrive after it.
-/// Cause: replies were not told apart by round.
+/// Guards against the same stale read through late replies: replies to a heartbeat from before the
+/// read arrive after it. Replies of older rounds must not count for the read.
 #[test]
 fn late_reply_confirms_no_read() {
     let mut cluster = Cluster::new(3);
@@ -47,13 +46,12 @@
     assert_eq!(cluster.reads, [1]);
 }
 
-/// Symptom: a committed entry is replaced (figure 8 of the Raft paper).
-/// Sequence: a leader of term 4 finds an entry of term 2 on a majority; it dies, and one with an
-/// entry of term 3 at that index is elected.
-/// Cause: the count of copies committed an entry of an older term. The read waits for the same
-/// reason: what earlier leaders committed is known only then.
+/// Guards against the loss of a committed entry (figure 8 of the Raft paper). A leader of term 4
+/// finds an entry of term 2 on a majority and crashes, and a node with an entry of term 3 at that
+/// index is elected. Copies of an entry of an older term must not commit it. The read waits for the
+/// same reason: what earlier leaders committed is known only then.
 #[test]
-fn older_terms_commit_only_through_the_own() {
+fn entries_of_older_terms_commit_only_through_the_current_term() {
     let mut node = Node::new(config(1), disk(&[1, 2, 3], 3, &[2]));
     node.step(message(2, 1, 3, Body::TransferNow));
     node.step(message(2, 1, 4, Body::VoteReply { granted: true }));
@@ -71,9 +69,9 @@
     assert_eq!(node.ready().reads, [(1, LogIndex(3))]);
 }
 
-/// Symptom: an accepted command is gone after all members restart.
-/// Sequence: one of two followers has the entry on disk, the leader crashes before its sync.
-/// Cause: the leader counted itself when it appended.
+/// Guards against the loss of an accepted command when all members restart. One of two followers
+/// has the entry on disk, and the leader crashes before its sync. The leader must not count its own
+/// copy when it appends it.
 #[test]
 fn unsynced_entry_of_the_leader_does_not_count() {
     let mut node = Node::new(config(1), disk(&[1, 2, 3], 1, &[]));
@@ -87,12 +85,11 @@
     assert_eq!(node.status().commit, LogIndex(2));
 }
 
-/// Symptom: after a crash a member applies commands that were never committed.
-/// Sequence: a leader replaces entries 2 to 4 and says that its own are committed; the power fails
-/// when the hard state is on disk and the entries are not. Or a snapshot does the same.
-/// Cause: the commit index on disk was ahead of the log on disk, and vouched for the old entries. In
-/// the cases named late, the message arrives while an older `Ready` is being synced, and that sync
-/// was taken for the new one's.
+/// Guards against a member that applies commands that were never committed, after a crash. A leader
+/// replaces entries 2 to 4 and marks its own as committed, or a snapshot does the same; the power
+/// fails when the hard state is on disk and the entries are not. A commit index on disk that is
+/// ahead of the log on disk would commit the old entries. In the cases named late, the message
+/// arrives while an older `Ready` is being synced; that sync must not count for the new entries.
 #[test]
 fn commit_on_disk_never_outruns_the_log_on_disk() {
     let entries = disk(&[1, 2, 3], 2, &[2, 2, 2]).entries;
@@ -115,17 +112,16 @@
         if late {
             node.synced();
         }
-        let hard = node.ready().hard.unwrap();
+        let hard_state = node.ready().hard_state.unwrap();
         assert_eq!(node.status().commit, LogIndex(4), "{name}");
-        let node = Node::new(config(1), Restored { hard, ..restored });
+        let node = Node::new(config(1), Restored { hard_state, ..restored });
         assert_eq!(node.status().commit, LogIndex(1), "{name}");
     }
 }
 
-/// Symptom: a member votes for a candidate that lacks committed entries.
-/// Sequence: a snapshot replaces entries 2 to 4; the power fails when the snapshot is on disk and
-/// the old log is not cleared yet.
-/// Cause: the old entry 4 was taken for the one after the snapshot.
+/// Guards against a member that votes for a candidate without the committed entries. A snapshot
+/// replaces entries 2 to 4, and the power fails when the snapshot is on disk and the old log is not
+/// cleared yet. The old entry 4 must not count as the one after the snapshot.
 #[test]
 fn entries_that_a_snapshot_replaced_do_not_come_back() {
     struct Case {
--- a/crates/consensus/tests/rules/disks.rs
+++ b/crates/consensus/tests/rules/disks.rs
@@ -1,14 +1,14 @@
-//! Disks that stall.
+//! Stalled disks.
 
 use consensus::{Body, Role};
 use types::{LogIndex, NodeId};
 
-use crate::cluster::{Cluster, ELECTION, config};
+use crate::cluster::{Cluster, ELECTION_TICKS, config};
 
-/// Guards against a leader that stays though only others' disks carry what it commits, and against one
-/// that goes though none is better.
+/// Guards against a leader that stays although only other nodes' disks hold what it commits, and
+/// against one that gives up leadership although no other node's disk is better.
 #[test]
-fn a_leader_goes_only_where_others_hold_more() {
+fn a_leader_transfers_only_where_others_hold_more() {
     struct Case {
         name: &'static str,
         stalled: &'static [u64],
@@ -29,7 +29,7 @@
         cluster.node(1).propose(Vec::new()).unwrap();
         cluster.settle();
         assert_eq!(cluster.commit(1) > before, commits, "{name}");
-        cluster.tick(config(1).lag_ticks + ELECTION);
+        cluster.tick(config(1).lag_ticks + ELECTION_TICKS);
         assert_eq!(cluster.role(1) == Role::Leader, leads, "{name}");
         if leads {
             cluster.node(1).read(1).unwrap();
@@ -39,36 +39,37 @@
     }
 }
 
-/// Guards against a voter that counts as well for ever though its disk never answers.
+/// Guards against a voter that counts as active forever although its disk never completes a write.
 #[test]
-fn a_stalled_follower_falls_silent() {
+fn a_stalled_follower_becomes_inactive() {
     let mut cluster = Cluster::new(3);
     cluster.stalled.insert(2);
     cluster.node(1).propose(Vec::new()).unwrap();
     cluster.settle();
     let active = |cluster: &Cluster| cluster.nodes[&1].status().peers[&NodeId(2)].active;
     let stall = config(2).stall_ticks;
-    cluster.tick(stall - ELECTION);
+    cluster.tick(stall - ELECTION_TICKS);
     assert!(active(&cluster), "it counts as lost too soon");
-    cluster.tick(4 * ELECTION);
+    cluster.tick(4 * ELECTION_TICKS);
     assert!(!active(&cluster), "it still counts as well");
 }
 
-/// Guards against entries that count as held by a follower that has not written them.
+/// Guards against counting entries for a follower that has not written them.
 #[test]
-fn a_heartbeat_vouches_for_nothing_unwritten() {
+fn a_heartbeat_reply_acknowledges_only_synced_entries() {
     let mut cluster = Cluster::new(3);
     cluster.stalled.extend([2, 3]);
     let before = cluster.commit(1);
     cluster.node(1).propose(Vec::new()).unwrap();
     cluster.settle();
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     assert_eq!(cluster.commit(1), before);
     let matched = cluster.nodes[&1].status().peers[&NodeId(2)].matched;
     assert_eq!(matched, before);
 }
 
-/// Guards against an heir and a leader that answer each other without a pause while a vote is written.
+/// Guards against a transfer target and a leader that keep answering each other while a vote is
+/// being written.
 #[test]
 fn a_transfer_to_a_slow_disk_sends_little() {
     let mut cluster = Cluster::new(3);
@@ -81,8 +82,8 @@
         sent.filter(|it| it.body == Body::TransferNow).count()
     };
     assert_eq!(offers(&cluster), 1);
-    cluster.tick(ELECTION);
-    assert!(offers(&cluster) <= 1 + ELECTION as usize / 2, "{} offers", offers(&cluster));
+    cluster.tick(ELECTION_TICKS);
+    assert!(offers(&cluster) <= 1 + ELECTION_TICKS as usize / 2, "{} offers", offers(&cluster));
     assert_eq!(cluster.role(1), Role::Leader);
     assert!(cluster.commit(1) >= LogIndex(2));
 }
--- a/crates/consensus/tests/rules/elections.rs
+++ b/crates/consensus/tests/rules/elections.rs
@@ -1,30 +1,30 @@
-//! Elections, pre-vote, check-quorum and transfer.
+//! Elections, pre-votes, quorum checks and leadership transfer.
 
 use consensus::{Body, Node, Restored, Role};
 use types::{LogIndex, NodeId, Term};
 
-use crate::cluster::{Cluster, ELECTION, config, disk, message};
+use crate::cluster::{Cluster, ELECTION_TICKS, config, disk, message};
 
-/// Symptom: a healthy leader is deposed each time a cut-off member returns.
-/// Sequence: node 3 hears nobody for long, stands again and again, and is connected again.
-/// Cause: its term rose while it was alone.
+/// Guards against a healthy leader that is deposed each time a partitioned member returns. Node 3
+/// hears from nobody for long, campaigns again and again, and is then connected again. Its term
+/// must not rise while it is alone.
 #[test]
 fn cut_off_member_does_not_raise_the_term() {
     let mut cluster = Cluster::new(3);
     let term = cluster.nodes[&1].status().term;
     cluster.isolate(3);
-    cluster.tick(ELECTION * 10);
+    cluster.tick(ELECTION_TICKS * 10);
     assert_eq!(cluster.nodes[&3].status().term, term);
 
     cluster.cuts.clear();
-    cluster.tick(ELECTION * 4);
+    cluster.tick(ELECTION_TICKS * 4);
     assert_eq!(cluster.role(1), Role::Leader);
     assert_eq!(cluster.nodes[&1].status().term, term);
 }
 
-/// Symptom: a leader believes for minutes that it leads, and its callers wait for it.
-/// Sequence: it can't hear the others; in the second case they still hear it.
-/// Cause: nothing but a message of a higher term, which never arrives, made it step down.
+/// Guards against a leader that goes on for minutes without a quorum while its callers wait for it.
+/// It can't hear the others; in the second case they still hear it. It must not need a message of a
+/// higher term, which never arrives, to step down.
 #[test]
 fn leader_without_quorum_steps_down() {
     struct Case {
@@ -41,7 +41,7 @@
         let mut cluster = Cluster::new(3);
         cluster.cuts.extend(cuts);
         let term = cluster.nodes[&1].status().term;
-        for _ in 0..2 * ELECTION {
+        for _ in 0..2 * ELECTION_TICKS {
             cluster.node(1).tick();
             cluster.settle();
         }
@@ -63,7 +63,7 @@
     }
     let voted = |by: u64| {
         let mut restored = disk(&[1, 2, 3], 5, &[2, 3]);
-        restored.hard.vote = Some(NodeId(by));
+        restored.hard_state.vote = Some(NodeId(by));
         restored
     };
     let case = |name, restored, (term, index, last), granted| Case {
@@ -91,14 +91,14 @@
         let ready = node.ready();
         assert_eq!(ready.messages[0].body, Body::VoteReply { granted }, "{name}");
         if granted && node.status().term == Term(term) && name != "asked twice" {
-            assert_eq!(ready.hard.unwrap().vote, Some(NodeId(2)), "{name}: vote not written");
+            assert_eq!(ready.hard_state.unwrap().vote, Some(NodeId(2)), "{name}: vote not written");
         }
     }
 }
 
-/// Symptom: a member that stands without need deposes a leader that all others hear.
-/// Sequence: it asks for votes in a higher term while heartbeats arrive.
-/// Cause: its term was taken although a leader was heard of lately; only a hand-over may do so.
+/// Guards against a member that deposes, without need, a leader that all others hear. The member
+/// requests votes in a higher term while heartbeats arrive. Only a leadership transfer may make a
+/// node adopt that term while it hears from a leader.
 #[test]
 fn live_leader_is_protected_from_votes() {
     for (transfer, taken) in [(false, false), (true, true)] {
@@ -121,15 +121,15 @@
         assert!(cluster.node(1).propose(Vec::new()).is_err(), "{name}");
         cluster.settle();
         assert_eq!(cluster.role(2) == Role::Leader, alive, "{name}");
-        cluster.tick(ELECTION);
+        cluster.tick(ELECTION_TICKS);
         assert_eq!(cluster.node(1).propose(Vec::new()).is_ok(), !alive, "{name}");
     }
 }
 
 #[test]
-fn empty_folder_never_stands() {
+fn empty_folder_never_campaigns() {
     let mut node = Node::new(config(1), Restored::default());
-    (0..100 * ELECTION).for_each(|_| node.tick());
+    (0..100 * ELECTION_TICKS).for_each(|_| node.tick());
     assert_eq!((node.status().role, node.status().term), (Role::Learner, Term(0)));
     assert!(!node.has_work());
 }
--- a/crates/consensus/tests/rules/main.rs
+++ b/crates/consensus/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! Single rules of the protocol, as tables of cases.
+//! Tests of single rules of the protocol, as tables of cases.
 
 mod cluster;
 mod commits;
--- a/crates/consensus/tests/rules/members.rs
+++ b/crates/consensus/tests/rules/members.rs
@@ -1,12 +1,12 @@
-//! Changes of members.
+//! Changes of the membership.
 
 use consensus::{Body, ChangeError, Membership, Payload, Role};
 
-use crate::cluster::{Cluster, ELECTION, members, message};
+use crate::cluster::{Cluster, ELECTION_TICKS, members, message};
 
-/// Symptom: two leaders commit in memberships whose majorities do not meet.
-/// Sequence: see each case; the second is the fault of the first published single-server change.
-/// Cause: the change was taken too early or too big.
+/// Guards against two leaders that commit in memberships whose majorities do not intersect, because
+/// a change was accepted too early or was too big. Each case is such a change; the second is the
+/// known error of single-server changes as first published.
 #[test]
 fn changes_wait_and_stay_small() {
     struct Case {
@@ -18,8 +18,8 @@
     }
     let four = || members(&[1, 2, 3], &[4]);
     let invalid = ChangeError::Invalid("a change may add or remove one voter only");
-    let unready = Some(ChangeError::Unready);
-    let under_way = Some(ChangeError::UnderWay);
+    let unready = Some(ChangeError::NotReady);
+    let under_way = Some(ChangeError::InProgress);
     let cases = [
         Case { name: "learner", next: four(), cut: false, before: None, expected: None },
         Case { name: "no own entry", next: four(), cut: true, before: None, expected: unready },
@@ -54,7 +54,7 @@
             cluster.node(1).change(before).unwrap();
             cluster.settle();
         } else if cut {
-            // Elects node 1 again, and loses its first entry.
+            // Elects node 1 again while isolated, so that no node gets the first entry of its term.
             let term = cluster.nodes[&1].status().term.0;
             cluster.elect(2);
             cluster.isolate(1);
@@ -69,21 +69,21 @@
     }
 }
 
-/// Symptom: two leaders commit different entries at one index.
-/// Sequence: leader 1 adds voter 5 and reaches only 5; node 2 is elected and removes node 1 before
-/// it has committed an entry, with 2 of {2, 3, 4}; node 1 returns and is elected by 3 of 5.
-/// Cause: node 2 could not know of the open change, and the two memberships differ by two voters.
+/// Guards against two leaders that commit different entries at one index. Leader 1 adds voter 5 and
+/// reaches only node 5. Node 2 is elected and, before it has committed an entry, removes node 1
+/// with 2 of {2, 3, 4}. Node 1 returns and is elected by 3 of 5. Node 2 can't know of the pending
+/// change, and the two memberships differ by two voters.
 #[test]
 fn rival_changes_never_both_commit() {
     let mut cluster = Cluster::new(4);
     cluster.node(1).change(members(&[1, 2, 3, 4], &[5])).unwrap();
     cluster.add_empty(5);
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     cluster.split(&[1, 5], &[2, 3, 4]);
     cluster.node(1).change(members(&[1, 2, 3, 4, 5], &[])).unwrap();
     cluster.settle();
 
-    // Node 4 votes for node 2, and nothing else passes between the two.
+    // Node 4 votes for node 2. No other message passes between the two.
     cluster.split(&[2], &[4]);
     cluster.elect(2);
     cluster.deliver_late(2, 4);
@@ -94,14 +94,14 @@
 
     cluster.cuts.clear();
     cluster.split(&[2, 3], &[1, 4, 5]);
-    cluster.tick(ELECTION * 10);
+    cluster.tick(ELECTION_TICKS * 10);
     cluster.check_agreement();
-    assert_eq!(result, Err(ChangeError::Unready));
+    assert_eq!(result, Err(ChangeError::NotReady));
 }
 
-/// Symptom: a member counts votes by a membership that never came into force.
-/// Sequence: a cut-off leader appends a change on itself and node 2; another leader replaces it.
-/// Cause: the log was cut, the membership was kept.
+/// Guards against a member that counts votes by a membership that was never committed. A
+/// partitioned leader appends a change on itself and node 2, and another leader replaces the entry.
+/// Truncating the log must also undo the membership.
 #[test]
 fn truncated_change_restores_the_membership() {
     let mut cluster = Cluster::new(5);
@@ -118,7 +118,7 @@
     assert_eq!(cluster.role(3), Role::Leader);
     assert_eq!(cluster.nodes[&2].membership(), &old);
     cluster.cuts.clear();
-    cluster.tick(2 * ELECTION);
+    cluster.tick(2 * ELECTION_TICKS);
     assert_eq!(cluster.nodes[&1].membership(), &old);
 }
 
@@ -132,14 +132,14 @@
     assert!(cluster.commit(1) >= place.index);
     let leaders = [2, 3].into_iter().filter(|&id| cluster.role(id) == Role::Leader);
     assert_eq!(leaders.count(), 1);
-    cluster.tick(ELECTION * 4);
+    cluster.tick(ELECTION_TICKS * 4);
     assert_eq!(cluster.role(1), Role::Learner);
 }
 
-/// Symptom: after a repair, one more lost VM stops the service for good, or loses a commit.
-/// Sequence: the disk of node 3 is lost; it returns empty as node 4 and becomes learner, then
-/// voter, node 3 is removed; then node 2 dies.
-/// Cause: the repaired member was counted before it held the log.
+/// Guards against a repaired cluster that loses its quorum, or a commit, when one more VM is lost.
+/// The disk of node 3 is lost; the member returns empty as node 4 and becomes a learner, then a
+/// voter; node 3 is removed; then node 2 dies. The repaired member must not count before it holds
+/// the log.
 #[test]
 fn second_loss_after_a_repair_leaves_a_quorum() {
     let mut cluster = Cluster::new(3);
@@ -149,10 +149,10 @@
     cluster.node(1).change(members(&[1, 2, 3], &[4])).unwrap();
     cluster.settle();
     let promoted = members(&[1, 2, 3, 4], &[]);
-    assert_eq!(cluster.node(1).change(promoted.clone()), Err(ChangeError::Unready));
+    assert_eq!(cluster.node(1).change(promoted.clone()), Err(ChangeError::NotReady));
 
     cluster.add_empty(4);
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     cluster.node(1).change(promoted).unwrap();
     cluster.settle();
     cluster.node(1).change(members(&[1, 2, 4], &[])).unwrap();
@@ -160,7 +160,7 @@
 
     cluster.nodes.remove(&2);
     let place = cluster.node(1).propose(b"new".to_vec()).unwrap();
-    cluster.tick(ELECTION);
+    cluster.tick(ELECTION_TICKS);
     assert_eq!(cluster.commit(4), place.index);
     let kept = Payload::Command(b"kept".to_vec());
     assert!(cluster.applied[&4].iter().any(|entry| entry.payload == kept));
--- a/crates/consensus/tests/rules/snapshots.rs
+++ b/crates/consensus/tests/rules/snapshots.rs
@@ -1,13 +1,13 @@
-//! Snapshots in parts.
+//! Snapshots that are sent in parts.
 
 use consensus::{Body, Node, Restored, Snapshot};
 use types::{LogIndex, Term};
 
 use crate::cluster::{Cluster, config, members, message};
 
-/// Symptom: a large snapshot never arrives over a lossy connection, or arrives mixed.
-/// Sequence: parts or their answers are lost or doubled; see each part's answer.
-/// Cause: it began again from the start, or took a part for another.
+/// Guards against a large snapshot that never arrives over a lossy connection, or arrives with
+/// mixed parts. Parts or their replies are lost or duplicated; each case states the expected reply.
+/// The transmission must not start over, nor take one part for another.
 #[test]
 fn snapshot_resumes_where_it_broke_off() {
     struct Case {
@@ -48,9 +48,8 @@
     }
 }
 
-/// Symptom: as above.
-/// Sequence: the answer to the second part is lost; a heartbeat is due.
-/// Cause: the leader never sent that part again, or began from the start.
+/// Guards against the same when the reply to the second part is lost. The leader must send that
+/// part again with the next heartbeat, and must not start over.
 #[test]
 fn lost_part_is_sent_again_by_the_heartbeat() {
     let mut cluster = Cluster::new(1);
--- a/crates/consensus/tests/schedules/sim/checks.rs
+++ b/crates/consensus/tests/schedules/sim/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold at every step.
+//! The invariants that must hold at every step.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +7,19 @@
 
 use super::host::{Disk, Host};
 
-/// A committed entry, and the lowest term in which a node was seen to know of it.
+/// A committed entry, and the lowest term of a node when it applied the entry.
 struct Committed {
     entry: Entry,
-    known: Term,
+    first_term: Term,
 }
 
 #[derive(Default)]
 pub(crate) struct Checks {
     leaders: BTreeMap<Term, NodeId>,
     committed: BTreeMap<LogIndex, Committed>,
-    /// Every entry ever on a disk, with the term before it: if an (index, term) has one payload
-    /// and one predecessor, logs that agree in one entry agree in all before it.
+    /// Every entry that was ever on a disk, with the term of the entry before it. If each (index,
+    /// term) has one payload and one predecessor, logs that agree in one entry agree in all entries
+    /// before it.
     written: BTreeMap<(LogIndex, Term), (Term, Payload)>,
 }
 
@@ -31,17 +32,17 @@
         self.committed.len()
     }
 
-    /// State machine safety: one command an index, on all members.
-    pub(crate) fn apply(&mut self, node: &Node, entry: &Entry) {
-        let known = node.status().term;
+    /// Checks state machine safety: all members apply the same entry at an index.
+    pub(crate) fn check_applied(&mut self, node: &Node, entry: &Entry) {
+        let first_term = node.status().term;
         let slot = self.committed.entry(entry.index);
-        let slot = slot.or_insert_with(|| Committed { entry: entry.clone(), known });
-        slot.known = slot.known.min(known);
+        let slot = slot.or_insert_with(|| Committed { entry: entry.clone(), first_term });
+        slot.first_term = slot.first_term.min(first_term);
         assert_eq!(&slot.entry, entry, "two entries committed at {}", entry.index);
     }
 
-    /// Log matching, over all that reached the disk.
-    pub(crate) fn log(&mut self, disk: &Disk) {
+    /// Checks log matching for everything that reached a disk.
+    pub(crate) fn check_log(&mut self, disk: &Disk) {
         let (_, mut prior) = disk.base();
         for entry in &disk.entries {
             let place = (entry.index, entry.term);
@@ -52,8 +53,14 @@
         }
     }
 
-    /// Election safety, leader completeness, and commits that a quorum has on disk.
-    pub(crate) fn leader(&mut self, hosts: &BTreeMap<NodeId, Host>, id: NodeId, before: LogIndex) {
+    /// Checks election safety, leader completeness, and that a quorum has committed entries on
+    /// disk.
+    pub(crate) fn check_leader(
+        &mut self,
+        hosts: &BTreeMap<NodeId, Host>,
+        id: NodeId,
+        before: LogIndex,
+    ) {
         let host = &hosts[&id];
         let Some(node) = &host.node else { return };
         let status = node.status();
@@ -64,20 +71,20 @@
         let leader = *self.leaders.entry(status.term).or_insert(id);
         assert_eq!(leader, id, "two leaders in term {}", status.term);
         if fresh {
-            self.complete(host, status.term);
+            self.check_complete(host, status.term);
         }
         if status.commit > before {
-            durable(hosts, node, status.commit);
+            check_durable(hosts, node, status.commit);
         }
     }
 
-    /// A new leader holds every entry that was committed in an earlier term.
-    fn complete(&self, host: &Host, term: Term) {
+    /// Checks that a new leader holds every entry that was committed in an earlier term.
+    fn check_complete(&self, host: &Host, term: Term) {
         let mut log = host.disk.clone();
         if let Some(ready) = &host.pending {
             log.write(ready, None);
         }
-        let earlier = self.committed.values().filter(|committed| committed.known < term);
+        let earlier = self.committed.values().filter(|committed| committed.first_term < term);
         for Committed { entry, .. } in earlier {
             let held = log.holds(entry.index, entry.term);
             assert!(held, "leader of term {term} lacks committed {}", entry.index);
@@ -85,8 +92,8 @@
     }
 }
 
-/// A majority of the voters has the entry at `commit` on disk.
-fn durable(hosts: &BTreeMap<NodeId, Host>, node: &Node, commit: LogIndex) {
+/// Checks that a majority of the voters has the entry at `commit` on disk.
+fn check_durable(hosts: &BTreeMap<NodeId, Host>, node: &Node, commit: LogIndex) {
     let Some(term) = node.term_at(commit) else { return };
     let membership = node.membership();
     let holders = membership.voters.keys().filter(|id| hosts[id].disk.holds(commit, term)).count();
--- a/crates/consensus/tests/schedules/sim/clients.rs
+++ b/crates/consensus/tests/schedules/sim/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that read and write the register, and the history of what they saw.
+//! Clients that read and write the register, and the history of their operations.
 
 use std::collections::BTreeSet;
 
@@ -10,11 +10,11 @@
 
 use super::host::Host;
 
-/// How many operations may be open at once.
-const OPEN_LIMIT: usize = 8;
+/// The maximum number of operations in flight at once.
+const MAX_IN_FLIGHT: usize = 8;
 
-/// The steps after which a client gives up: its operation may have happened.
-const PATIENCE: u64 = 800;
+/// The steps after which a client gives up. Its operation may still take effect.
+const TIMEOUT_STEPS: u64 = 800;
 
 type Operation = RegisterOperation<u64>;
 
@@ -22,15 +22,15 @@
 enum Outcome {
     Open,
     Done(u64),
-    /// It had no effect, now or later.
-    Void,
-    /// Nobody told the client.
+    /// The operation has no effect, now or later.
+    NoEffect,
+    /// The client got no answer.
     Unknown,
 }
 
 struct Call {
     host: NodeId,
-    /// Where a write stands in the log; `None` for reads.
+    /// The position of a write in the log; `None` for reads.
     place: Option<Position>,
     value: u64,
     start: u64,
@@ -50,10 +50,10 @@
         self.calls.push(Call { host, place, value, start: now, outcome: Outcome::Open });
     }
 
-    /// Begins an operation at a host, whatever it believes to be.
+    /// Starts an operation at a host, whether or not the host leads.
     pub(crate) fn begin(&mut self, host: &mut Host, write: bool, now: u64) {
         let Some(node) = &mut host.node else { return };
-        if self.open.len() >= OPEN_LIMIT {
+        if self.open.len() >= MAX_IN_FLIGHT {
             return;
         }
         let value = self.calls.len() as u64 + 1;
@@ -77,7 +77,7 @@
         };
     }
 
-    /// Answers the writes whose index was applied on the host that took them.
+    /// Ends the writes of a host whose index that host has applied.
     pub(crate) fn applied(&mut self, host: NodeId, entry: &Entry, now: u64) {
         for id in self.open.clone() {
             let call = &self.calls[id];
@@ -86,11 +86,11 @@
                 continue;
             };
             let won = place.term == entry.term;
-            self.end(id, now, if won { Outcome::Done(now) } else { Outcome::Void });
+            self.end(id, now, if won { Outcome::Done(now) } else { Outcome::NoEffect });
         }
     }
 
-    /// Answers the reads whose index is applied.
+    /// Ends the reads whose index is applied.
     pub(crate) fn answer(&mut self, host: &mut Host, now: u64) {
         let register = host.register;
         let due = |index: LogIndex| index <= register.applied;
@@ -104,13 +104,13 @@
     }
 
     pub(crate) fn lost(&mut self, id: u64, now: u64) {
-        self.end(id as usize - 1, now, Outcome::Void);
+        self.end(id as usize - 1, now, Outcome::NoEffect);
     }
 
-    /// Gives up what takes too long.
+    /// Ends the operations that have taken too long.
     pub(crate) fn expire(&mut self, now: u64) {
         for id in self.open.clone() {
-            if self.calls[id].start + PATIENCE < now {
+            if self.calls[id].start + TIMEOUT_STEPS < now {
                 self.end(id, now, Outcome::Unknown);
             }
         }
@@ -121,9 +121,9 @@
         self.calls.iter().filter(done).count()
     }
 
-    /// Whether some order of the operations explains all answers. A write whose answer was lost
-    /// may have happened until the end; one that nobody read is left out, for it may always be
-    /// last.
+    /// Returns whether some order of the operations explains all results. A write without an answer
+    /// may take effect at any time until the end; one whose value no read returned is left out,
+    /// since it may always come last.
     pub(crate) fn is_linearizable(&self) -> bool {
         let read = |call: &Call| call.place.is_none();
         let seen: BTreeSet<u64> = self.calls.iter().filter(|c| read(c)).map(|c| c.value).collect();
@@ -131,7 +131,7 @@
         for (id, call) in self.calls.iter().enumerate() {
             let end = match call.outcome {
                 Outcome::Done(end) => end,
-                Outcome::Void => continue,
+                Outcome::NoEffect => continue,
                 _ if read(call) || !seen.contains(&call.value) => continue,
                 _ => u64::MAX,
             };
--- a/crates/consensus/tests/schedules/sim/host.rs
+++ b/crates/consensus/tests/schedules/sim/host.rs
@@ -1,15 +1,15 @@
-//! A member with a disk that loses what is not synced, and a register as its state.
+//! A member whose disk loses what is not synced, and whose state is one register.
 
 use consensus::{Config, Entry, HardState, Node, Payload, Ready, Restored, Snapshot};
 use types::{LogIndex, NodeId, Term};
 
-/// The copies of the register in a snapshot: enough for several parts.
-const COPIES: usize = 8;
+/// The number of copies of the register in a snapshot, so that a snapshot has several parts.
+const REGISTER_COPIES: usize = 8;
 
-/// What survives a crash.
+/// The data that survives a crash.
 #[derive(Clone, Default)]
 pub(crate) struct Disk {
-    pub(crate) hard: HardState,
+    pub(crate) hard_state: HardState,
     pub(crate) snapshot: Option<Snapshot>,
     pub(crate) entries: Vec<Entry>,
 }
@@ -28,7 +28,8 @@
         held || index <= self.base().0
     }
 
-    /// Writes the first `parts` of hard state, snapshot and entries; all of them with `None`.
+    /// Writes the first `parts` items of hard state, snapshot and entries, or all of them with
+    /// `None`.
     pub(crate) fn write(&mut self, ready: &Ready, parts: Option<usize>) {
         let mut left = parts.unwrap_or(usize::MAX);
         let mut passes = || {
@@ -36,8 +37,8 @@
             left = left.saturating_sub(1);
             passes
         };
-        if let Some(hard) = ready.hard.filter(|_| passes()) {
-            self.hard = hard;
+        if let Some(hard_state) = ready.hard_state.filter(|_| passes()) {
+            self.hard_state = hard_state;
         }
         if let Some(snapshot) = ready.snapshot.as_ref().filter(|_| passes()) {
             self.snapshot = Some(snapshot.clone());
@@ -54,7 +55,7 @@
     }
 }
 
-/// The replicated state: one register.
+/// The replicated state.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Register {
     pub(crate) applied: LogIndex,
@@ -82,7 +83,7 @@
     u64::from_le_bytes(bytes.try_into().unwrap())
 }
 
-/// The parameters of the members of random schedules.
+/// Returns the parameters of the members in random schedules.
 pub(crate) fn config(id: u64) -> Config {
     Config {
         id: NodeId(id),
@@ -105,10 +106,10 @@
     pub(crate) disk: Disk,
     /// `None` while crashed.
     pub(crate) node: Option<Node>,
-    /// Taken from the node, not synced yet: the writes, and the messages that wait for them.
+    /// The writes in flight, taken from the node, and the messages that wait for them.
     pub(crate) pending: Option<Ready>,
     pub(crate) register: Register,
-    /// Confirmed reads that wait for their index.
+    /// Confirmed reads whose index is not applied yet.
     pub(crate) reads: Vec<(u64, LogIndex)>,
     pub(crate) frozen: bool,
 }
@@ -132,12 +133,12 @@
 
     pub(crate) fn restart(&mut self, seed: u64) {
         let config = Config { seed, ..self.config.clone() };
-        let Disk { hard, snapshot, entries } = self.disk.clone();
+        let Disk { hard_state, snapshot, entries } = self.disk.clone();
         self.register = snapshot.as_ref().map_or_else(Register::default, Register::restore);
-        self.node = Some(Node::new(config, Restored { hard, snapshot, entries }));
+        self.node = Some(Node::new(config, Restored { hard_state, snapshot, entries }));
     }
 
-    /// Stops at once; of the writes under way only the first `parts` reached the disk.
+    /// Crashes the member. Of the writes in flight, only the first `parts` items reach the disk.
     pub(crate) fn crash(&mut self, parts: usize) {
         if let Some(ready) = self.pending.take() {
             self.disk.write(&ready, Some(parts));
@@ -147,8 +148,8 @@
         self.frozen = false;
     }
 
-    /// Takes the next `Ready`. Its writes, if any, then are under way, and what does not wait for them
-    /// is returned.
+    /// Takes the next `Ready`. Its writes, if any, are then in flight; returns the part that does
+    /// not wait for them.
     pub(crate) fn take(&mut self) -> Option<Ready> {
         let node = self.node.as_mut().filter(|node| node.has_work())?;
         let mut ready = node.ready();
@@ -169,7 +170,7 @@
         Some(ready)
     }
 
-    /// Completes the writes under way, and returns the messages that waited for them.
+    /// Completes the writes in flight and returns the messages that waited for them.
     pub(crate) fn sync(&mut self) -> Option<Ready> {
         let ready = self.pending.take()?;
         self.disk.write(&ready, None);
@@ -177,14 +178,14 @@
         Some(ready)
     }
 
-    /// Takes a snapshot of the register and drops the log before it.
+    /// Takes a snapshot of the register and drops the log that it covers.
     pub(crate) fn compact(&mut self) {
         let Some(node) = self.node.as_mut().filter(|_| self.pending.is_none()) else { return };
         let Some(mut snapshot) = node.snapshot_head(self.register.applied) else { return };
         if snapshot.index <= self.disk.base().0 || snapshot.index > node.synced_index() {
             return;
         }
-        snapshot.data = self.register.value.to_le_bytes().repeat(COPIES);
+        snapshot.data = self.register.value.to_le_bytes().repeat(REGISTER_COPIES);
         self.disk.entries.retain(|entry| entry.index > snapshot.index);
         self.disk.snapshot = Some(snapshot.clone());
         node.compact(snapshot);
--- a/crates/consensus/tests/schedules/sim/mod.rs
+++ b/crates/consensus/tests/schedules/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Members on a network and on disks that fail, driven by one seed.
+//! Members on a faulty network with faulty disks, driven by one seed.
 
 pub(crate) mod checks;
 pub(crate) mod clients;
@@ -18,22 +18,22 @@
 
 const MAX_HOSTS: usize = 7;
 const MAX_VOTERS: usize = 5;
-const WIRE_LIMIT: usize = 400;
-const LOSS: f64 = 0.03;
+const MAX_MESSAGES: usize = 400;
+const LOSS_PROBABILITY: f64 = 0.03;
 
-/// How likely a write under way is done at a turn: fast and slow disks.
-const SPEEDS: [f64; 3] = [0.7, 0.3, 0.05];
-const DOUBLING: f64 = 0.03;
+/// The probability that a write in flight completes at a member's turn, for fast and slow disks.
+const WRITE_PROBABILITIES: [f64; 3] = [0.7, 0.3, 0.05];
+const DUPLICATE_PROBABILITY: f64 = 0.03;
 
-/// The longest time that a fault lasts, in steps.
-const FAULT_LIMIT: u64 = 1500;
+/// The maximum duration of a fault, in steps.
+const MAX_FAULT_STEPS: u64 = 1500;
 
-/// The rounds without faults within which a leader must commit.
-const HEAL_ROUNDS: usize = 400;
+/// The number of rounds without faults within which a leader must commit.
+const MAX_HEAL_ROUNDS: usize = 400;
 
-/// What happened, so that a test can tell whether its schedule was worth anything.
+/// Counts of events, so that a test can check that its schedule exercised enough.
 #[derive(Default, Debug)]
-pub(crate) struct Tally {
+pub(crate) struct Counts {
     pub(crate) crashes: usize,
     pub(crate) changes: usize,
     pub(crate) installs: usize,
@@ -46,24 +46,24 @@
 pub(crate) struct Sim {
     pub(crate) hosts: BTreeMap<NodeId, Host>,
     rng: StdRng,
-    wire: Vec<Message>,
-    /// One-way: messages from the first to the second are lost.
+    messages: Vec<Message>,
+    /// Cut links: messages from the first host to the second are lost.
     cuts: BTreeSet<(NodeId, NodeId)>,
-    /// When which host is to be whole again.
+    /// The steps at which hosts are repaired.
     repairs: Vec<(u64, NodeId)>,
     checks: Checks,
     clients: Clients,
     now: u64,
-    /// The chance of a write under way to be done at a turn.
-    speed: f64,
-    pub(crate) tally: Tally,
+    /// The probability that a write in flight completes at a member's turn.
+    write_probability: f64,
+    pub(crate) counts: Counts,
 }
 
 impl Sim {
-    /// One voter, as `init` makes it, or a cluster of three or five.
+    /// Creates one voter, as `init` does, or a cluster of three or five voters.
     pub(crate) fn new(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let speed = *SPEEDS.choose(&mut rng).unwrap();
+        let write_probability = *WRITE_PROBABILITIES.choose(&mut rng).unwrap();
         let count = *[1, 3, 3, 5].choose(&mut rng).unwrap();
         let voters: BTreeMap<NodeId, Vec<u8>> =
             (1..=count).map(|id| (NodeId(id), Vec::new())).collect();
@@ -75,28 +75,28 @@
         Self {
             hosts: (1..=count).map(host).collect(),
             rng,
-            wire: Vec::new(),
+            messages: Vec::new(),
             cuts: BTreeSet::new(),
             repairs: Vec::new(),
             checks: Checks::default(),
             clients: Clients::default(),
             now: 0,
-            speed,
-            tally: Tally::default(),
+            write_probability,
+            counts: Counts::default(),
         }
     }
 
-    /// One event of a faulty schedule.
+    /// Runs one event of a faulty schedule.
     pub(crate) fn step(&mut self) {
         self.now += 1;
         match self.rng.random_range(0..1000) {
             0..350 => self.deliver_any(),
-            350..700 => self.on_any(Self::pump),
+            350..700 => self.on_any(Self::process),
             700..900 => self.on_any(Self::tick),
             900..980 => self.on_leader(Self::call),
             980..993 => self.on_leader(Self::change),
             993..996 => self.on_any(|sim, id| sim.host(id).compact()),
-            996 => self.on_leader(Self::hand_over),
+            996 => self.on_leader(Self::transfer_leadership),
             _ => self.fault(),
         }
         self.repair();
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Acts on one that believes it leads, right or wrong.
+    /// Acts on a host that believes it leads, whether or not it does.
     fn on_leader(&mut self, act: impl FnOnce(&mut Self, NodeId)) {
         let leads = |host: &&Host| role(host) == Some(Role::Leader) && !host.frozen;
         let ids: Vec<NodeId> = self.hosts.values().filter(leads).map(|host| host.id).collect();
@@ -128,16 +128,16 @@
         }
     }
 
-    /// Lets `act` touch a node, and checks what came of it.
-    fn touch(&mut self, id: NodeId, act: impl FnOnce(&mut Node)) {
+    /// Runs `act` on a node and checks the invariants of leaders.
+    fn run_node(&mut self, id: NodeId, act: impl FnOnce(&mut Node)) {
         let Some(node) = &mut self.host(id).node else { return };
         let before = node.status().commit;
         act(node);
-        self.checks.leader(&self.hosts, id, before);
+        self.checks.check_leader(&self.hosts, id, before);
     }
 
     fn tick(&mut self, id: NodeId) {
-        self.touch(id, Node::tick);
+        self.run_node(id, Node::tick);
     }
 
     fn call(&mut self, id: NodeId) {
@@ -146,29 +146,29 @@
         self.clients.begin(self.hosts.get_mut(&id).unwrap(), write, now);
     }
 
-    /// Completes the writes under way, or takes what there is to do besides.
-    fn pump(&mut self, id: NodeId) {
+    /// Takes the pending work, completes the writes in flight, or both.
+    fn process(&mut self, id: NodeId) {
         if (self.hosts[&id].pending.is_none() || self.rng.random_bool(0.5))
             && let Some(ready) = self.host(id).take()
         {
-            self.finish(id, ready);
+            self.handle_ready(id, ready);
         }
-        if !self.rng.random_bool(self.speed) {
+        if !self.rng.random_bool(self.write_probability) {
             return;
         }
         let before = self.hosts[&id].node.as_ref().unwrap().status().commit;
         let Some(ready) = self.host(id).sync() else { return };
-        self.checks.leader(&self.hosts, id, before);
-        self.checks.log(&self.hosts[&id].disk);
-        self.tally.installs += usize::from(ready.snapshot.is_some());
+        self.checks.check_leader(&self.hosts, id, before);
+        self.checks.check_log(&self.hosts[&id].disk);
+        self.counts.installs += usize::from(ready.snapshot.is_some());
         self.post(ready.messages);
     }
 
-    fn finish(&mut self, id: NodeId, ready: Ready) {
+    fn handle_ready(&mut self, id: NodeId, ready: Ready) {
         let now = self.now;
         let host = self.hosts.get_mut(&id).unwrap();
         for entry in &ready.committed {
-            self.checks.apply(host.node.as_ref().unwrap(), entry);
+            self.checks.check_applied(host.node.as_ref().unwrap(), entry);
             host.register.apply(entry);
             self.clients.applied(id, entry, now);
         }
@@ -182,24 +182,24 @@
     }
 
     fn post(&mut self, messages: Vec<Message>) {
-        self.wire.extend(messages);
-        while self.wire.len() > WIRE_LIMIT {
-            let any = self.rng.random_range(0..self.wire.len());
-            self.wire.swap_remove(any);
+        self.messages.extend(messages);
+        while self.messages.len() > MAX_MESSAGES {
+            let any = self.rng.random_range(0..self.messages.len());
+            self.messages.swap_remove(any);
         }
     }
 
-    /// Delivers any message under way, so that they overtake each other.
+    /// Delivers a random message in flight, so that messages overtake each other.
     fn deliver_any(&mut self) {
-        if self.wire.is_empty() {
+        if self.messages.is_empty() {
             return;
         }
-        let any = self.rng.random_range(0..self.wire.len());
-        let message = self.wire.swap_remove(any);
-        if self.rng.random_bool(DOUBLING) {
-            self.wire.push(message.clone());
+        let any = self.rng.random_range(0..self.messages.len());
+        let message = self.messages.swap_remove(any);
+        if self.rng.random_bool(DUPLICATE_PROBABILITY) {
+            self.messages.push(message.clone());
         }
-        if !self.rng.random_bool(LOSS) {
+        if !self.rng.random_bool(LOSS_PROBABILITY) {
             self.deliver(message);
         }
     }
@@ -207,11 +207,11 @@
     fn deliver(&mut self, message: Message) {
         let cut = self.cuts.contains(&(message.from, message.to));
         if !cut && self.hosts.get(&message.to).is_some_and(Host::is_up) {
-            self.touch(message.to, |node| node.step(message));
+            self.run_node(message.to, |node| node.step(message));
         }
     }
 
-    /// Breaks something for a while; most often the leader, for there it matters.
+    /// Causes a fault for a while, most often on the leader, where it has the most effect.
     fn fault(&mut self) {
         let mut id = self.pick();
         if self.rng.random_bool(0.6) {
@@ -227,14 +227,14 @@
                 let ids: Vec<NodeId> = self.hosts.keys().copied().collect();
                 for id in ids {
                     self.crash(id);
-                    self.plan_repair(id, 200);
+                    self.schedule_repair(id, 200);
                 }
             }
         }
-        self.plan_repair(id, FAULT_LIMIT);
+        self.schedule_repair(id, MAX_FAULT_STEPS);
     }
 
-    fn plan_repair(&mut self, id: NodeId, limit: u64) {
+    fn schedule_repair(&mut self, id: NodeId, limit: u64) {
         let due = self.now + self.rng.random_range(10..limit);
         self.repairs.push((due, id));
     }
@@ -244,18 +244,18 @@
         let due: Vec<(u64, NodeId)> = self.repairs.extract_if(.., |(due, _)| *due <= now).collect();
         for (_, id) in due {
             self.cuts.retain(|(from, to)| *from != id && *to != id);
-            self.revive(id);
+            self.recover(id);
         }
     }
 
     fn crash(&mut self, id: NodeId) {
         let parts = self.rng.random_range(0..4);
         self.host(id).crash(parts);
-        self.checks.log(&self.hosts[&id].disk);
-        self.tally.crashes += 1;
+        self.checks.check_log(&self.hosts[&id].disk);
+        self.counts.crashes += 1;
     }
 
-    fn revive(&mut self, id: NodeId) {
+    fn recover(&mut self, id: NodeId) {
         let seed = self.rng.random();
         let host = self.host(id);
         host.frozen = false;
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Loses what goes to or comes from a host.
+    /// Drops the messages to a host, from a host, or both.
     fn cut(&mut self, id: NodeId, to: bool, from: bool) {
         for &other in self.hosts.keys() {
             if to {
@@ -276,12 +276,13 @@
         }
     }
 
-    fn hand_over(&mut self, id: NodeId) {
-        self.touch(id, |node| node.transfer(None).unwrap());
-        self.tally.transfers += 1;
+    fn transfer_leadership(&mut self, id: NodeId) {
+        self.run_node(id, |node| node.transfer(None).unwrap());
+        self.counts.transfers += 1;
     }
 
-    /// Adds a new member as learner, promotes, demotes or removes one, or tries to replace one.
+    /// Adds a new member as a learner, promotes, demotes or removes a member, or tries to replace a
+    /// voter.
     fn change(&mut self, id: NodeId) {
         let mut next = self.hosts[&id].node.as_ref().unwrap().membership().clone();
         let voters: Vec<NodeId> = next.voters.keys().copied().collect();
@@ -291,7 +292,7 @@
         let voter = *voters.choose(&mut self.rng).unwrap();
         match (self.rng.random_range(0..12), learner) {
             (10.., Some(learner)) => {
-                // Two voters differ: must be refused.
+                // Two voters differ, so the change must be refused.
                 next.voters.remove(&voter);
                 next.learners.remove(&learner);
                 next.voters.insert(learner, Vec::new());
@@ -313,25 +314,25 @@
         }
         let fresh = next.contains(spare);
         let mut changed = false;
-        self.touch(id, |node| changed = node.change(next).is_ok());
-        self.tally.changes += usize::from(changed);
+        self.run_node(id, |node| changed = node.change(next).is_ok());
+        self.counts.changes += usize::from(changed);
         if changed && fresh {
             self.hosts.insert(spare, Host::new(host::config(spare.0), Disk::default()));
         }
     }
 
-    /// Ends all faults; then a leader must commit, and all its members apply.
+    /// Ends all faults. A leader must then commit, and all its members must apply.
     pub(crate) fn heal(&mut self) {
-        self.speed = SPEEDS[0];
+        self.write_probability = WRITE_PROBABILITIES[0];
         self.cuts.clear();
         let ids: Vec<NodeId> = self.hosts.keys().copied().collect();
         for &id in &ids {
-            self.revive(id);
+            self.recover(id);
         }
         let mut goal = None;
-        for _ in 0..HEAL_ROUNDS {
+        for _ in 0..MAX_HEAL_ROUNDS {
             self.round(&ids);
-            goal = self.propose_last(goal);
+            goal = self.propose_on_leader(goal);
             if goal.is_some_and(|goal| self.all_applied(goal)) {
                 return;
             }
@@ -341,25 +342,26 @@
         panic!("no progress after the network healed: {states:#?}");
     }
 
-    /// All ticks, writes and messages, without loss.
+    /// Runs one tick of all members, with all their writes and messages and without loss.
     fn round(&mut self, ids: &[NodeId]) {
         self.now += 1;
         for &id in ids {
             self.tick(id);
-            self.pump(id);
-            self.pump(id);
+            self.process(id);
+            self.process(id);
         }
-        for message in std::mem::take(&mut self.wire) {
+        for message in std::mem::take(&mut self.messages) {
             self.deliver(message);
         }
     }
 
-    /// Proposes on the newest leader that can commit, unless it already has.
-    fn propose_last(&mut self, goal: Option<Position>) -> Option<Position> {
+    /// Proposes on the leader of the highest term that can commit, unless it already has.
+    fn propose_on_leader(&mut self, goal: Option<Position>) -> Option<Position> {
         let nodes = self.hosts.values_mut().filter_map(|host| host.node.as_mut());
         let node = nodes.filter(|node| node.status().settled).max_by_key(|n| n.status().term);
         let fresh = node.filter(|node| goal.is_none_or(|goal| goal.term < node.status().term));
-        // Leaders that handed over or were deposed since may have lost the last proposal.
+        // Leaders that have since transferred leadership or were deposed may have lost the last
+        // proposal.
         fresh.and_then(|node| node.propose(Vec::new()).ok()).or(goal)
     }
 
@@ -371,11 +373,11 @@
         leader.membership().nodes().all(|id| self.hosts[&id].register.applied >= goal.index)
     }
 
-    /// Checks the clients' history.
-    pub(crate) fn finish_history(&mut self) {
-        self.tally.reads = self.clients.reads();
-        self.tally.commits = self.checks.commits();
-        self.tally.terms = self.checks.terms();
+    /// Checks that the clients' history is linearizable.
+    pub(crate) fn check_history(&mut self) {
+        self.counts.reads = self.clients.reads();
+        self.counts.commits = self.checks.commits();
+        self.counts.terms = self.checks.terms();
         assert!(self.clients.is_linearizable(), "the history is not linearizable");
     }
 }
--- a/crates/consensus/tests/slow_disks/main.rs
+++ b/crates/consensus/tests/slow_disks/main.rs
@@ -1,4 +1,4 @@
-//! Members whose disks are slow, restarted in turn under load, in virtual time.
+//! Rolling restarts under load of members with slow disks, in virtual time.
 
 #[allow(dead_code)] // The random schedules use more of it.
 #[path = "../schedules/sim/host.rs"]
@@ -7,25 +7,25 @@
 
 use sim::{Plan, Sim, Slow};
 
-/// The age of the last confirmation above which an entry refuses requests, in ms.
-const FRESHNESS: u64 = 4_000;
+/// The age of the last confirmation, in ms, above which an entry process refuses requests.
+const MAX_AGE_MS: u64 = 4_000;
 
-/// The seeds of each case; `SLOW_DISK_SEEDS` asks for another number.
+/// The number of seeds for each case. `SLOW_DISK_SEEDS` sets another number.
 const SEEDS: u64 = 12;
 
 struct Case {
     name: &'static str,
     slow: Slow,
-    /// The time of one sync, in ms.
-    sync: u64,
+    /// The duration of one sync, in ms.
+    sync_ms: u64,
 }
 
-const fn case(name: &'static str, slow: Slow, sync: u64) -> Case {
-    Case { name, slow, sync }
+const fn case(name: &'static str, slow: Slow, sync_ms: u64) -> Case {
+    Case { name, slow, sync_ms }
 }
 
-/// Guards against entries that refuse as stale, in a rolling restart, since heartbeats and the
-/// confirmation of reads wait for slow disks.
+/// Guards against entry processes that refuse requests as stale during a rolling restart because
+/// heartbeats and the confirmation of reads wait for slow disks.
 #[test]
 fn a_rolling_restart_on_slow_disks_keeps_confirmations() {
     let cases = [
@@ -39,17 +39,17 @@
         case("the leader at 3 s", Slow::Leader, 3_000),
     ];
     let seeds = std::env::var("SLOW_DISK_SEEDS").ok().and_then(|it| it.parse().ok());
-    for Case { name, slow, sync } in cases {
-        let run = |seed| Sim::new(Plan { slow, sync, seed }).restart_all();
+    for Case { name, slow, sync_ms } in cases {
+        let run = |seed| Sim::new(Plan { slow, sync_ms, seed }).restart_all();
         let ran: Vec<_> = (0..seeds.unwrap_or(SEEDS)).map(|seed| (run(seed), seed)).collect();
-        let (worst, seed) = ran.iter().max_by_key(|(it, _)| it.oldest).unwrap();
+        let (worst, seed) = ran.iter().max_by_key(|(it, _)| it.max_age).unwrap();
         let commits = ran.iter().map(|(it, _)| it.commits).min().unwrap();
-        let longest = ran.iter().map(|(it, _)| it.handover).max().unwrap();
+        let longest = ran.iter().map(|(it, _)| it.max_transfer).max().unwrap();
         eprintln!(
             "{name}: oldest {} ms (seed {seed}), handover {longest} ms, {commits} commits",
-            worst.oldest
+            worst.max_age
         );
-        assert!(worst.oldest < FRESHNESS, "{name}, seed {seed}: {} ms", worst.oldest);
+        assert!(worst.max_age < MAX_AGE_MS, "{name}, seed {seed}: {} ms", worst.max_age);
         assert!(commits > 20, "{name}: {commits} commits");
     }
 }
--- a/crates/consensus/tests/slow_disks/sim.rs
+++ b/crates/consensus/tests/slow_disks/sim.rs
@@ -1,4 +1,4 @@
-//! Three members, three entries that follow them, and a load of proposals.
+//! Three members, three entry processes that follow them, and a load of proposals.
 
 use std::collections::BTreeMap;
 
@@ -10,38 +10,38 @@
 use crate::host::{Disk, Host};
 
 /// The step of virtual time, in ms.
-const STEP: u64 = 5;
-const TICK: u64 = 50;
+const STEP_MS: u64 = 5;
+const TICK_MS: u64 = 50;
 const MEMBERS: u64 = 3;
 
-/// The pause between two proposals, in ms.
-const PROPOSE: u64 = 20;
+/// The interval between two proposals, in ms.
+const PROPOSE_INTERVAL_MS: u64 = 20;
 
-/// How often an entry asks, how long it stays with a member that does not confirm, and how soon a
-/// member asks the leader again, in ms.
-const ASK: u64 = 1_000;
-const PATIENCE: u64 = 1_500;
-const ASK_AGAIN: u64 = 40;
+/// The interval at which an entry process asks for a confirmation, the time after which it leaves a
+/// member that does not confirm, and the interval at which a member asks the leader again, in ms.
+const ASK_INTERVAL_MS: u64 = 1_000;
+const MEMBER_TIMEOUT_MS: u64 = 1_500;
+const RETRY_INTERVAL_MS: u64 = 40;
 
-/// How long a leaving leader waits for another, in ms.
-const HANDOVER: u64 = 20_000;
+/// The timeout of a leader that waits for another leader before it stops, in ms.
+const TRANSFER_TIMEOUT_MS: u64 = 20_000;
 
-/// How long a process is away besides its syncs, in ms, and how many syncs a start takes.
-const DOWN: u64 = 100;
+/// The downtime of a process besides its syncs, in ms, and the number of syncs that a start takes.
+const DOWNTIME_MS: u64 = 100;
 const START_SYNCS: u64 = 5;
 
-/// How long the members run between two restarts at most, in ms.
-const BETWEEN: u64 = 3_000;
+/// The maximum time that the members run between two restarts, in ms.
+const MAX_RUN_MS: u64 = 3_000;
 
-/// No restart takes longer, in ms.
-const LIMIT: u64 = 120_000;
+/// The timeout of each wait of a restart, in ms.
+const WAIT_TIMEOUT_MS: u64 = 120_000;
 
-/// Whose disk is slow.
+/// The members whose disk is slow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Slow {
-    /// Member 2, which does not lead at first.
+    /// Member 2, which is not the first leader.
     One,
-    /// Whichever leads.
+    /// The current leader.
     Leader,
     All,
 }
@@ -49,33 +49,33 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Plan {
     pub(crate) slow: Slow,
-    /// The time of one slow sync, in ms.
-    pub(crate) sync: u64,
+    /// The duration of one slow sync, in ms.
+    pub(crate) sync_ms: u64,
     pub(crate) seed: u64,
 }
 
-/// What was seen.
+/// The measurements.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Seen {
-    /// The longest time since the question that was confirmed last, at any entry, in ms.
-    pub(crate) oldest: u64,
-    /// The longest time that a leader took to leave, in ms.
-    pub(crate) handover: u64,
+pub(crate) struct Measurements {
+    /// The maximum age of the last confirmed question, over all entry processes, in ms.
+    pub(crate) max_age: u64,
+    /// The longest time that a leader took to transfer leadership, in ms.
+    pub(crate) max_transfer: u64,
     pub(crate) commits: usize,
 }
 
-struct Entry {
+struct EntryProcess {
     member: u64,
-    /// When the question without an answer was asked.
-    open: Option<u64>,
+    /// The time of the question that is not answered yet.
+    open_since: Option<u64>,
     next_ask: u64,
-    /// When a member is asked next for the open question.
+    /// The time at which the open question is next sent to a member.
     next_try: u64,
     heard: u64,
-    fresh: u64,
+    confirmed: u64,
 }
 
-/// A question of an entry at the leader.
+/// A question of an entry process at the leader.
 struct Read {
     entry: usize,
     asked: u64,
@@ -88,13 +88,13 @@
     is_slow: bool,
     now: u64,
     hosts: BTreeMap<u64, Host>,
-    /// When the write under way is on the disk.
+    /// The time at which the write in flight of a member completes.
     synced_at: BTreeMap<u64, u64>,
-    wire: Vec<(u64, Message)>,
-    entries: Vec<Entry>,
+    messages: Vec<(u64, Message)>,
+    entries: Vec<EntryProcess>,
     reads: BTreeMap<u64, Read>,
     next_read: u64,
-    seen: Seen,
+    measured: Measurements,
 }
 
 impl Sim {
@@ -106,8 +106,14 @@
         let disk = Disk { snapshot: Some(snapshot), ..Disk::default() };
         let seed = plan.seed * MEMBERS;
         let host = |id| (id, Host::new(config(id, seed + id), disk.clone()));
-        let entry =
-            |member| Entry { member, open: None, next_ask: 0, next_try: 0, heard: 0, fresh: 0 };
+        let entry = |member| EntryProcess {
+            member,
+            open_since: None,
+            next_ask: 0,
+            next_try: 0,
+            heard: 0,
+            confirmed: 0,
+        };
         Self {
             plan,
             rng: StdRng::seed_from_u64(plan.seed),
@@ -115,57 +121,57 @@
             now: 0,
             hosts: (1..=MEMBERS).map(host).collect(),
             synced_at: BTreeMap::new(),
-            wire: Vec::new(),
+            messages: Vec::new(),
             entries: (1..=MEMBERS).map(entry).collect(),
             reads: BTreeMap::new(),
             next_read: 0,
-            seen: Seen::default(),
+            measured: Measurements::default(),
         }
     }
 
-    /// Restarts every member in turn, as its operator would, and tells what entries saw.
-    pub(crate) fn restart_all(mut self) -> Seen {
-        // The disks become slow once the members serve.
+    /// Restarts every member in turn, as an operator would, and returns the measurements.
+    pub(crate) fn restart_all(mut self) -> Measurements {
+        // The disks become slow only once the members serve.
         self.run_until("the first leader", |sim| sim.leader().is_some());
-        self.run(BETWEEN);
+        self.run(MAX_RUN_MS);
         self.is_slow = true;
-        self.run(BETWEEN);
-        self.seen = Seen { commits: self.seen.commits, ..Seen::default() };
+        self.run(MAX_RUN_MS);
+        self.measured = Measurements { commits: self.measured.commits, ..Measurements::default() };
         for id in 1..=MEMBERS {
-            self.leave(id);
-            self.run(DOWN + START_SYNCS * self.sync_of(id));
+            self.stop_member(id);
+            self.run(DOWNTIME_MS + START_SYNCS * self.sync_of(id));
             let seed = self.rng.random();
             self.hosts.get_mut(&id).unwrap().restart(seed);
             self.run_until("the member to have caught up", |sim| sim.is_caught_up(id));
-            let pause = self.rng.random_range(0..=BETWEEN);
+            let pause = self.rng.random_range(0..=MAX_RUN_MS);
             self.run(pause);
         }
-        self.seen
+        self.measured
     }
 
-    fn leave(&mut self, id: u64) {
+    fn stop_member(&mut self, id: u64) {
         let from = self.now;
         if self.leads(id) {
-            self.hand_over(id);
+            self.transfer_leadership(id);
         }
-        self.seen.handover = self.seen.handover.max(self.now - from);
+        self.measured.max_transfer = self.measured.max_transfer.max(self.now - from);
         let host = self.hosts.get_mut(&id).unwrap();
         host.crash(usize::MAX);
         self.synced_at.remove(&id);
         self.reads.retain(|_, read| read.leader != id);
     }
 
-    /// Hands over until another member is known to lead.
-    fn hand_over(&mut self, id: u64) {
-        let by = self.now + HANDOVER;
+    /// Transfers leadership until another member is known to lead.
+    fn transfer_leadership(&mut self, id: u64) {
+        let by = self.now + TRANSFER_TIMEOUT_MS;
         loop {
             let node = self.hosts.get_mut(&id).unwrap().node.as_mut().unwrap();
             if node.status().leader.is_some_and(|it| it.0 != id) || self.now >= by {
                 return;
             }
-            // It refuses once it does not lead.
+            // The call is refused once the member no longer leads.
             let _ = node.transfer(None);
-            self.run(4 * STEP);
+            self.run(4 * STEP_MS);
         }
     }
 
@@ -174,7 +180,7 @@
         node.is_some_and(|it| it.status().role == Role::Leader)
     }
 
-    /// The leader of the highest term, if its log is settled.
+    /// Returns the leader of the highest term.
     fn leader(&self) -> Option<u64> {
         let nodes = self.hosts.iter().filter_map(|(id, host)| Some((id, host.node.as_ref()?)));
         let leads = nodes.filter(|(_, node)| node.status().role == Role::Leader);
@@ -195,30 +201,30 @@
             Slow::One => id == 2,
             Slow::Leader => self.leads(id),
         };
-        if slow { self.plan.sync } else { STEP }
+        if slow { self.plan.sync_ms } else { STEP_MS }
     }
 
     fn run(&mut self, ms: u64) {
-        for _ in 0..ms / STEP {
+        for _ in 0..ms / STEP_MS {
             self.step();
         }
     }
 
-    fn run_until(&mut self, what: &str, done: impl Fn(&Self) -> bool) {
-        let by = self.now + LIMIT;
+    fn run_until(&mut self, condition: &str, done: impl Fn(&Self) -> bool) {
+        let by = self.now + WAIT_TIMEOUT_MS;
         while !done(self) {
-            assert!(self.now < by, "in vain, seed {}: {what}", self.plan.seed);
+            assert!(self.now < by, "timeout, seed {}: waited for {condition}", self.plan.seed);
             self.step();
         }
     }
 
     fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_MS;
         self.deliver();
         for id in 1..=MEMBERS {
             self.turn(id);
         }
-        if self.now.is_multiple_of(PROPOSE) {
+        if self.now.is_multiple_of(PROPOSE_INTERVAL_MS) {
             self.propose();
         }
         for at in 0..self.entries.len() {
@@ -228,7 +234,7 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let due: Vec<_> = self.wire.extract_if(.., |(at, _)| *at <= now).collect();
+        let due: Vec<_> = self.messages.extract_if(.., |(at, _)| *at <= now).collect();
         for (_, message) in due {
             if let Some(node) = self.hosts.get_mut(&message.to.0).and_then(|it| it.node.as_mut()) {
                 node.step(message);
@@ -240,8 +246,8 @@
         let now = self.now;
         let host = self.hosts.get_mut(&id).unwrap();
         let Some(node) = &mut host.node else { return };
-        // The members' clocks differ.
-        if (now + id * 15).is_multiple_of(TICK) {
+        // The ticks of the members are offset against each other.
+        if (now + id * 15).is_multiple_of(TICK_MS) {
             node.tick();
         }
         if self.synced_at.get(&id).is_some_and(|at| *at <= now) {
@@ -255,12 +261,12 @@
                 host.register.apply(entry);
             }
             if host.pending.is_some() && !self.synced_at.contains_key(&id) {
-                let sync = self.sync_of(id);
-                let took = self.rng.random_range(sync / 2..=sync) + STEP;
+                let sync_ms = self.sync_of(id);
+                let took = self.rng.random_range(sync_ms / 2..=sync_ms) + STEP_MS;
                 self.synced_at.insert(id, now + took);
             }
             if self.leads(id) {
-                self.seen.commits += ready.committed.len();
+                self.measured.commits += ready.committed.len();
             }
             self.confirm(&ready.reads);
             for read in ready.lost_reads {
@@ -273,15 +279,15 @@
 
     fn post(&mut self, messages: Vec<Message>) {
         for message in messages {
-            let way = self.rng.random_range(1..=2) * STEP;
-            self.wire.push((self.now + way, message));
+            let latency = self.rng.random_range(1..=2) * STEP_MS;
+            self.messages.push((self.now + latency, message));
         }
     }
 
     fn propose(&mut self) {
         if let Some(id) = self.leader() {
             let node = self.hosts.get_mut(&id).unwrap().node.as_mut().unwrap();
-            // A leader that hands over refuses.
+            // A leader refuses while it transfers leadership.
             let _ = node.propose(Vec::new());
         }
     }
@@ -290,30 +296,30 @@
         for (read, _) in reads {
             let Some(Read { entry, asked, .. }) = self.reads.remove(read) else { continue };
             let entry = &mut self.entries[entry];
-            entry.fresh = entry.fresh.max(asked);
-            if entry.open == Some(asked) {
-                entry.open = None;
+            entry.confirmed = entry.confirmed.max(asked);
+            if entry.open_since == Some(asked) {
+                entry.open_since = None;
                 entry.heard = self.now;
             }
         }
     }
 
-    /// An entry asks a member, which asks the leader that it knows.
+    /// Lets an entry process ask a member, which asks the leader that it knows.
     fn follow(&mut self, at: usize) {
         let now = self.now;
         let entry = &mut self.entries[at];
         let gone = self.hosts[&entry.member].node.is_none();
-        if gone || now >= entry.heard + PATIENCE {
+        if gone || now >= entry.heard + MEMBER_TIMEOUT_MS {
             entry.member = entry.member % MEMBERS + 1;
-            (entry.heard, entry.open, entry.next_ask) = (now, None, now);
+            (entry.heard, entry.open_since, entry.next_ask) = (now, None, now);
         }
         if now >= entry.next_ask {
-            entry.next_ask = now + ASK;
-            (entry.open, entry.next_try) = (Some(now), now);
+            entry.next_ask = now + ASK_INTERVAL_MS;
+            (entry.open_since, entry.next_try) = (Some(now), now);
         }
-        self.seen.oldest = self.seen.oldest.max(now - entry.fresh);
-        let Some(asked) = entry.open.filter(|_| now >= entry.next_try) else { return };
-        entry.next_try = now + ASK_AGAIN;
+        self.measured.max_age = self.measured.max_age.max(now - entry.confirmed);
+        let Some(asked) = entry.open_since.filter(|_| now >= entry.next_try) else { return };
+        entry.next_try = now + RETRY_INTERVAL_MS;
         let member = self.hosts[&entry.member].node.as_ref();
         let Some(NodeId(leader)) = member.and_then(|it| it.status().leader) else { return };
         if self.reads.values().any(|it| (it.entry, it.asked) == (at, asked)) {
@@ -327,7 +333,7 @@
     }
 }
 
-/// The parameters of control's members.
+/// Returns the parameters of control's members.
 fn config(id: u64, seed: u64) -> Config {
     Config {
         id: NodeId(id),
--- a/crates/disk/src/batch.rs
+++ b/crates/disk/src/batch.rs
@@ -18,7 +18,7 @@
     /// In a file's first batch: the index before the first record that the file can hold.
     pub(crate) base: Option<LogIndex>,
     /// The hard state from here on.
-    pub(crate) hard: Option<Vec<u8>>,
+    pub(crate) hard_state: Option<Vec<u8>>,
     /// The records.
     pub(crate) records: Vec<Record>,
 }
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct BatchRef<'a> {
     pub(crate) base: Option<LogIndex>,
-    pub(crate) hard: Option<&'a [u8]>,
+    pub(crate) hard_state: Option<&'a [u8]>,
     pub(crate) records: &'a [Record],
 }
 
@@ -44,7 +44,7 @@
     /// The index before the first record.
     pub(crate) base: LogIndex,
     /// The latest hard state.
-    pub(crate) hard: Option<Vec<u8>>,
+    pub(crate) hard_state: Option<Vec<u8>>,
     /// The records, without gaps.
     pub(crate) records: Vec<Record>,
 }
@@ -60,8 +60,8 @@
         if let Some(base) = batch.base {
             self.base = base;
         }
-        if batch.hard.is_some() {
-            self.hard = batch.hard;
+        if batch.hard_state.is_some() {
+            self.hard_state = batch.hard_state;
         }
         batch.records.into_iter().try_for_each(|record| self.push(record))
     }
@@ -86,5 +86,5 @@
     /// Whether it was written to void the log before it.
     pub(crate) voids: bool,
     /// The hard state, where the snapshot voids the log that holds it.
-    pub(crate) hard: Option<Vec<u8>>,
+    pub(crate) hard_state: Option<Vec<u8>>,
 }
--- a/crates/disk/src/recover.rs
+++ b/crates/disk/src/recover.rs
@@ -39,7 +39,7 @@
     /// The identity; `None` for a new folder.
     pub identity: Option<Vec<u8>>,
     /// The latest hard state.
-    pub hard: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
     /// The latest snapshot and the last index it covers.
     pub snapshot: Option<(LogIndex, Vec<u8>)>,
     /// The records, without gaps; the first may lie before the snapshot's index.
@@ -119,7 +119,7 @@
         return Log::default();
     };
     let head = &snapshot.head;
-    Log { base: head.index, hard: head.hard.clone(), records: Vec::new() }
+    Log { base: head.index, hard_state: head.hard_state.clone(), records: Vec::new() }
 }
 
 /// Refuses a folder whose files do not fit each other.
--- a/crates/disk/src/store.rs
+++ b/crates/disk/src/store.rs
@@ -24,7 +24,7 @@
     length: u64,
     base: LogIndex,
     last: LogIndex,
-    hard: Option<Vec<u8>>,
+    hard_state: Option<Vec<u8>>,
     identified: bool,
     poisoned: bool,
 }
@@ -69,7 +69,7 @@
             length,
             base: found.log.base,
             last: found.log.last(),
-            hard: found.log.hard.clone(),
+            hard_state: found.log.hard_state.clone(),
             identified: found.identity.is_some(),
             poisoned: false,
         };
@@ -100,20 +100,24 @@
     ///
     /// # Errors
     /// Where the records do not follow the log, or the file system fails.
-    pub fn write(&mut self, hard: Option<&[u8]>, records: &[Record]) -> Result<(), DiskError> {
+    pub fn write(
+        &mut self,
+        hard_state: Option<&[u8]>,
+        records: &[Record],
+    ) -> Result<(), DiskError> {
         self.usable()?;
         if !self.identified {
             return Err(DiskError::Unidentified);
         }
         let last = self.check(records)?;
-        if hard.is_none() && records.is_empty() {
+        if hard_state.is_none() && records.is_empty() {
             return Ok(());
         }
-        let done = self.append(&BatchRef { base: None, hard, records });
+        let done = self.append(&BatchRef { base: None, hard_state, records });
         self.guard(done)?;
         self.last = last;
-        if let Some(hard) = hard {
-            self.hard = Some(hard.to_owned());
+        if let Some(hard_state) = hard_state {
+            self.hard_state = Some(hard_state.to_owned());
         }
         Ok(())
     }
@@ -213,7 +217,7 @@
         data: &[u8],
         keep: LogIndex,
     ) -> Result<(), DiskError> {
-        let head = SnapshotHead { index, floor: self.generation, voids: false, hard: None };
+        let head = SnapshotHead { index, floor: self.generation, voids: false, hard_state: None };
         self.put_snapshot(&head, data)?;
         let mark = (self.generation, self.length);
         let (mut log, _) = recover::read_log(&self.files, &self.folder, self.generation, mark)?;
@@ -222,7 +226,7 @@
         log.base = base;
         self.renew(&BatchRef {
             base: Some(base),
-            hard: log.hard.as_deref(),
+            hard_state: log.hard_state.as_deref(),
             records: &log.records,
         })?;
         self.base = base;
@@ -232,11 +236,15 @@
     fn try_install(&mut self, index: LogIndex, data: &[u8]) -> Result<(), DiskError> {
         // What goes wrong: a crash between snapshot and log would leave the old log's tail after
         // the new snapshot. The floor voids the old log in the same rename.
-        let hard = self.hard.clone();
+        let hard_state = self.hard_state.clone();
         let floor = self.generation + 1;
-        let head = SnapshotHead { index, floor, voids: true, hard: hard.clone() };
+        let head = SnapshotHead { index, floor, voids: true, hard_state: hard_state.clone() };
         self.put_snapshot(&head, data)?;
-        self.renew(&BatchRef { base: Some(index), hard: hard.as_deref(), records: &[] })?;
+        self.renew(&BatchRef {
+            base: Some(index),
+            hard_state: hard_state.as_deref(),
+            records: &[],
+        })?;
         self.base = index;
         self.last = index;
         sweep(&self.files, &self.folder, self.generation, Some(index))
@@ -307,7 +315,11 @@
     found: &Folder,
 ) -> Result<(F::File, u64), DiskError> {
     let log = &found.log;
-    let batch = BatchRef { base: Some(log.base), hard: log.hard.as_deref(), records: &log.records };
+    let batch = BatchRef {
+        base: Some(log.base),
+        hard_state: log.hard_state.as_deref(),
+        records: &log.records,
+    };
     new_log(files, folder, generation, &batch)
 }
 
@@ -341,7 +353,7 @@
 fn recovered(found: Folder) -> Recovered {
     Recovered {
         identity: found.identity,
-        hard: found.log.hard,
+        hard_state: found.log.hard_state,
         snapshot: found.snapshot.map(|it| (it.head.index, it.data)),
         records: found.log.records,
         cut: found.cut,
--- a/crates/disk/src/writer.rs
+++ b/crates/disk/src/writer.rs
@@ -19,7 +19,7 @@
     /// Hard state and records, as [`Store::write`] takes them.
     Log {
         /// The hard state, if it changed.
-        hard: Option<Vec<u8>>,
+        hard_state: Option<Vec<u8>>,
         /// The records.
         records: Vec<Record>,
     },
@@ -27,7 +27,7 @@
     Install {
         /// The hard state, if it changed. It is written first: a snapshot of a later term must not
         /// outlive a vote of that term.
-        hard: Option<Vec<u8>>,
+        hard_state: Option<Vec<u8>>,
         /// The last index that the snapshot covers.
         index: LogIndex,
         /// The snapshot.
@@ -164,9 +164,9 @@
     /// As the operation that it names.
     pub fn apply(&mut self, write: &Write) -> Result<(), DiskError> {
         match write {
-            Write::Log { hard, records } => self.write(hard.as_deref(), records),
-            Write::Install { hard, index, data, records } => {
-                self.write(hard.as_deref(), &[])?;
+            Write::Log { hard_state, records } => self.write(hard_state.as_deref(), records),
+            Write::Install { hard_state, index, data, records } => {
+                self.write(hard_state.as_deref(), &[])?;
                 self.install(*index, data)?;
                 self.write(None, records)
             }
--- a/crates/disk/tests/folder/crash.rs
+++ b/crates/disk/tests/folder/crash.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Content {
     identity: Option<Vec<u8>>,
-    hard: Option<Vec<u8>>,
+    hard_state: Option<Vec<u8>>,
     snapshot: Option<(LogIndex, Vec<u8>)>,
     records: Vec<Record>,
 }
@@ -21,7 +21,7 @@
     fn from(it: Recovered) -> Self {
         let covered = it.snapshot.as_ref().map_or(LogIndex(0), |it| it.0);
         let records = it.records.into_iter().filter(|it| it.index > covered).collect();
-        Self { identity: it.identity, hard: it.hard, snapshot: it.snapshot, records }
+        Self { identity: it.identity, hard_state: it.hard_state, snapshot: it.snapshot, records }
     }
 }
 
@@ -58,10 +58,10 @@
 fn run(store: &mut Store<MemFiles>, step: &Step) -> Result<(), DiskError> {
     match *step {
         Step::Identity => store.set_identity(b"node"),
-        Step::Write(hard, first, last) => {
+        Step::Write(hard_state, first, last) => {
             let records: Vec<Record> = (first..=last).map(record).collect();
-            let hard = hard.map(|it| vec![it; 9]);
-            store.write(hard.as_deref(), &records)
+            let hard_state = hard_state.map(|it| vec![it; 9]);
+            store.write(hard_state.as_deref(), &records)
         }
         Step::Snapshot(index, keep) => {
             store.snapshot(LogIndex(index), &image(index), LogIndex(keep))
@@ -79,8 +79,8 @@
     let mut next = content.clone();
     match *step {
         Step::Identity => next.identity = Some(b"node".to_vec()),
-        Step::Write(hard, first, last) => {
-            next.hard = hard.map(|it| vec![it; 9]).or(next.hard);
+        Step::Write(hard_state, first, last) => {
+            next.hard_state = hard_state.map(|it| vec![it; 9]).or(next.hard_state);
             next.records.retain(|it| it.index.0 < first);
             next.records.extend((first..=last).map(record));
         }
--- a/crates/disk/tests/folder/damage.rs
+++ b/crates/disk/tests/folder/damage.rs
@@ -160,7 +160,7 @@
     drop(store);
     let (_, found) = Store::open(folder.path()).unwrap();
     assert_eq!(found.identity.as_deref(), Some(&b"node"[..]));
-    assert_eq!(found.hard.as_deref(), Some(&b"term"[..]));
+    assert_eq!(found.hard_state.as_deref(), Some(&b"term"[..]));
     assert_eq!(found.records, [record(1), record(2)]);
     assert_eq!(found.cut, None);
 }
--- a/crates/disk/tests/writer.rs
+++ b/crates/disk/tests/writer.rs
@@ -22,7 +22,7 @@
 
 fn log(from: u64, to: u64) -> Write {
     let record = |index| Record { index: LogIndex(index), data: vec![index as u8; 16] };
-    Write::Log { hard: None, records: (from..=to).map(record).collect() }
+    Write::Log { hard_state: None, records: (from..=to).map(record).collect() }
 }
 
 /// Guards against writes that are lost where the process ends in order, or carried out in another order.
--- a/crates/replica/src/journal.rs
+++ b/crates/replica/src/journal.rs
@@ -71,11 +71,11 @@
         if !ready.writes() {
             return Ok(messages);
         }
-        let hard = ready.hard.as_ref().map(encode).transpose()?;
+        let hard_state = ready.hard_state.as_ref().map(encode).transpose()?;
         let records = ready.entries.iter().map(record).collect::<StepResult<Vec<_>>>()?;
         let write = match &ready.snapshot {
-            None => Write::Log { hard, records },
-            Some(it) => Write::Install { hard, index: it.index, data: encode(it)?, records },
+            None => Write::Log { hard_state, records },
+            Some(it) => Write::Install { hard_state, index: it.index, data: encode(it)?, records },
         };
         self.writer.submit(write).map_err(ended)?;
         self.orders.push_back(Order::Ready(messages));
--- a/crates/replica/src/restore.rs
+++ b/crates/replica/src/restore.rs
@@ -17,8 +17,8 @@
             "cut a torn write off the log; it was never acknowledged");
     }
     let mut restored = Restored::default();
-    if let Some(hard) = &found.hard {
-        restored.hard = decode(hard, "decode hard state")?;
+    if let Some(hard_state) = &found.hard_state {
+        restored.hard_state = decode(hard_state, "decode hard state")?;
     }
     if let Some((_, data)) = &found.snapshot {
         restored.snapshot = Some(decode(data, "decode snapshot")?);
