--- a/crates/state/examples/claim_cost.rs
+++ b/crates/state/examples/claim_cost.rs
@@ -1,6 +1,7 @@
-//! Measures what claims, change ids and audit records cost in memory, in the snapshot and in the
-//! log, and how long commands and snapshots take. Each run measures one kind, named by its
-//! argument, so that no memory is measured that another kind gave back; without one it lists them.
+//! Measures the cost of claims, change ids and audit records in memory, in the snapshot and in the
+//! log, and the duration of commands and snapshots. Each run measures the one kind that its
+//! argument names, so that memory freed by another kind is not reused; without an argument it lists
+//! the kinds.
 
 use std::fs;
 use std::io::{self, Write};
@@ -12,10 +13,10 @@
     Millis, Outcome, StoredAnswer, UnixMillis, Version, VmName,
 };
 
-/// How many of each kind are made.
+/// The number of items measured of a kind.
 const COUNT: u64 = 200_000;
 
-/// What one kind cost.
+/// The cost of one kind.
 struct Cost {
     memory: u64,
     snapshot: usize,
@@ -23,7 +24,7 @@
     write: Duration,
 }
 
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|it| it.parse::<u64>().ok());
     pages.unwrap_or(0) * 4_096
@@ -76,17 +77,17 @@
 
 fn limits() -> Limits {
     let claims = ClaimLimits { answers: Millis(1_000), ..ClaimLimits::default() };
-    Limits { dated: Millis(1_000), audit: 1, ..Limits::from(claims) }
+    Limits { key_retention: Millis(1_000), max_records: 1, ..Limits::from(claims) }
 }
 
 fn expire(at: u64) -> Command {
     Command::Expire { at: UnixMillis(at), limits: limits() }
 }
 
-/// Measures what the commands, made for each number in turn, add to the state.
+/// Measures what the commands, created for each number in turn, add to the state.
 fn measure(state: &mut State, commands: &[&dyn Fn(u64) -> Command]) -> Cost {
     let empty = state.snapshot().len();
-    let before = resident();
+    let before = resident_bytes();
     let started = Instant::now();
     for number in 0..COUNT {
         for command in commands {
@@ -94,13 +95,13 @@
         }
     }
     let apply = started.elapsed();
-    let memory = resident().saturating_sub(before);
+    let memory = resident_bytes().saturating_sub(before);
     let started = Instant::now();
     let snapshot = state.snapshot().len() - empty;
     Cost { memory, snapshot, apply, write: started.elapsed() }
 }
 
-fn entered(limits: Limits) -> State {
+fn state_with_entry(limits: Limits) -> State {
     let mut state = State::new();
     state.apply(LogIndex(1), Command::Expire { at: UnixMillis(1 << 40), limits });
     state.apply(LogIndex(1), Command::Enter { vm: vm(), owner: Incarnation(1 << 60) });
@@ -121,23 +122,24 @@
     type Kind<'a> = (&'a str, State, Vec<&'a dyn Fn(u64) -> Command>);
     let body = |number| finish(number, Some(vec![1; 80]));
     let bare = |number| finish(number, None);
-    let bury = |number| if number % 5_000 == 4_999 { expire(1 << 41) } else { claim(number) };
-    let life = |number| Command::Enter { vm: vm(), owner: Incarnation((1 << 60) + number) };
+    let claim_or_expire =
+        |number| if number % 5_000 == 4_999 { expire(1 << 41) } else { claim(number) };
+    let enter = |number| Command::Enter { vm: vm(), owner: Incarnation((1 << 60) + number) };
     let order = |number| Command::Order {
         upstream: "engine-1".parse().expect("a valid name"),
         target: format!("model m, version {number}"),
         at: UnixMillis(1 << 40),
     };
-    let long = Limits { audit: u32::MAX, ..limits() };
+    let unlimited_audit = Limits { max_records: u32::MAX, ..limits() };
     let kinds: [Kind<'_>; 8] = [
-        ("running", entered(limits()), vec![&claim]),
-        ("done", entered(limits()), vec![&claim, &bare]),
-        ("body", entered(limits()), vec![&claim, &body]),
-        ("tombstone", entered(limits()), vec![&claim, &bare, &bury]),
-        ("note", entered(limits()), vec![&release]),
-        ("life", entered(limits()), vec![&life]),
-        ("change", entered(limits()), vec![&change]),
-        ("audit", entered(long), vec![&order]),
+        ("running", state_with_entry(limits()), vec![&claim]),
+        ("done", state_with_entry(limits()), vec![&claim, &bare]),
+        ("body", state_with_entry(limits()), vec![&claim, &body]),
+        ("tombstone", state_with_entry(limits()), vec![&claim, &bare, &claim_or_expire]),
+        ("note", state_with_entry(limits()), vec![&release]),
+        ("life", state_with_entry(limits()), vec![&enter]),
+        ("change", state_with_entry(limits()), vec![&change]),
+        ("audit", state_with_entry(unlimited_audit), vec![&order]),
     ];
     let mut out = io::stdout().lock();
     let wanted = std::env::args().nth(1);
--- a/crates/state/src/answers.rs
+++ b/crates/state/src/answers.rs
@@ -1,4 +1,4 @@
-//! The bodies of answers, kept for resends within a bound of age and bytes.
+//! The bodies of stored answers, kept for resends within limits on age and memory.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -7,18 +7,18 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use types::UnixMillis;
 
-use crate::key::Short;
+use crate::key::ShortHash;
 
-/// What keeping a body costs besides its bytes, as measured in docs/notes/claims.md.
-const BODY_COST: u64 = 100;
+/// The memory that a body takes besides its bytes. The example `claim_cost` measures it.
+const BODY_OVERHEAD_BYTES: u64 = 100;
 
-/// A body, written to the snapshot in one piece instead of byte by byte.
+/// A body. It is written to the snapshot in one piece instead of byte by byte.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Body(Box<[u8]>);
 
 impl Body {
-    fn cost(&self) -> u64 {
-        self.0.len() as u64 + BODY_COST
+    fn memory_bytes(&self) -> u64 {
+        self.0.len() as u64 + BODY_OVERHEAD_BYTES
     }
 }
 
@@ -50,36 +50,36 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Answers {
-    bodies: BTreeMap<Short, Body>,
-    order: VecDeque<(Short, UnixMillis)>,
+    bodies: BTreeMap<ShortHash, Body>,
+    order: VecDeque<(ShortHash, UnixMillis)>,
     bytes: u64,
 }
 
 impl Answers {
-    pub(crate) fn insert(&mut self, key: Short, body: Vec<u8>, at: UnixMillis) {
+    pub(crate) fn insert(&mut self, key: ShortHash, body: Vec<u8>, at: UnixMillis) {
         let body = Body(body.into());
-        self.bytes += body.cost();
+        self.bytes += body.memory_bytes();
         self.bodies.insert(key, body);
         self.order.push_back((key, at));
     }
 
-    pub(crate) fn get(&self, key: &Short) -> Option<&[u8]> {
+    pub(crate) fn get(&self, key: &ShortHash) -> Option<&[u8]> {
         self.bodies.get(key).map(|body| &*body.0)
     }
 
-    /// Drops the oldest until none is from before `since` and all fit into `most` bytes.
-    pub(crate) fn trim(&mut self, since: u64, most: u64) {
+    /// Drops the oldest bodies until none is older than `since` and all fit into `max_bytes`.
+    pub(crate) fn trim(&mut self, since: u64, max_bytes: u64) {
         while let Some((key, at)) = self.order.front().copied() {
-            if at.0 >= since && self.bytes <= most {
+            if at.0 >= since && self.bytes <= max_bytes {
                 return;
             }
             self.order.pop_front();
             let body = self.bodies.remove(&key);
-            self.bytes = self.bytes.saturating_sub(body.map_or(0, |body| body.cost()));
+            self.bytes = self.bytes.saturating_sub(body.map_or(0, |body| body.memory_bytes()));
         }
     }
 
-    /// Returns the memory that all bodies take, in bytes.
+    /// Returns the memory of all bodies, in bytes.
     pub(crate) fn bytes(&self) -> u64 {
         self.bytes
     }
--- a/crates/state/src/audit.rs
+++ b/crates/state/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: a chain of records in which each carries the hash of the one before.
+//! The audit trail: a chain of records, each with the hash of the record before it.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -7,7 +7,7 @@
 use sha2::{Digest, Sha256};
 use types::{OperatorName, UnixMillis, Version};
 
-/// The SHA-256 of a record.
+/// The SHA-256 hash of a record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditHash(pub [u8; 32]);
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// What a record is about.
+/// The subject of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AuditKind {
     /// A change of the service.
@@ -33,7 +33,7 @@
 }
 
 impl AuditKind {
-    /// Returns the word used in answers.
+    /// Returns the word for the kind in answers.
     pub fn as_str(self) -> &'static str {
         match self {
             AuditKind::Change => "change",
@@ -45,21 +45,21 @@
     }
 }
 
-/// What became of it.
+/// The outcome of the recorded action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AuditOutcome {
-    /// It took effect.
+    /// The action took effect.
     Accepted,
-    /// Another change had won.
+    /// Another change won.
     Conflict,
-    /// The id was taken by another content.
+    /// The id was already used with another content.
     Reused,
-    /// The base was from before the oldest answer that is kept.
+    /// The base is older than the oldest answer that is kept.
     Forgotten,
 }
 
 impl AuditOutcome {
-    /// Returns the word used in answers.
+    /// Returns the word for the outcome in answers.
     pub fn as_str(self) -> &'static str {
         match self {
             AuditOutcome::Accepted => "accepted",
@@ -73,30 +73,30 @@
 /// A record of the audit trail.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// Its number, from 1.
+    /// The number of the record, from 1.
     pub number: u64,
-    /// When it was asked, on the proposer's clock.
+    /// The time of the request, on the proposer's clock.
     pub at: UnixMillis,
-    /// Who asked; `None` for the system itself.
+    /// The operator; `None` for the system itself.
     pub operator: Option<OperatorName>,
-    /// What it is about.
+    /// The subject.
     pub kind: AuditKind,
-    /// The version the operator saw; changes only.
+    /// For changes, the version that the operator saw.
     pub base: Option<Version>,
-    /// The version in force after it.
+    /// The version in force after the action.
     pub version: Version,
-    /// What changed, in words.
+    /// A description of the action.
     pub what: String,
-    /// What became of it.
+    /// The outcome.
     pub outcome: AuditOutcome,
-    /// The hash of the record before; zeros for the first.
+    /// The hash of the record before this one; zeros for the first.
     pub prior: AuditHash,
-    /// The hash of all the above.
+    /// The hash of all the fields above.
     pub hash: AuditHash,
 }
 
 impl AuditRecord {
-    /// Computes what `hash` must be.
+    /// Computes the hash of the record, which `hash` must equal.
     pub fn compute_hash(&self) -> AuditHash {
         let bare = Self { hash: AuditHash::default(), ..self.clone() };
         // Writing to a vector cannot fail.
@@ -105,12 +105,12 @@
     }
 }
 
-/// Where a chain breaks.
+/// The place where a chain of records is broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuditBreak {
     /// The number of the first record that does not fit.
     pub number: u64,
-    /// What does not fit.
+    /// The reason why it does not fit.
     pub why: &'static str,
 }
 
@@ -122,11 +122,11 @@
 
 impl std::error::Error for AuditBreak {}
 
-/// Verifies consecutive records. What lies before the first is taken on its word, unless the
-/// first has number 1.
+/// Verifies consecutive records. Records before the first of them are assumed to be valid, unless
+/// the first has number 1.
 ///
 /// # Errors
-/// The first record that was changed, left out or put in another place.
+/// Returns the first record that was changed, left out or moved.
 pub fn verify(records: &[AuditRecord]) -> Result<(), AuditBreak> {
     let mut prior: Option<&AuditRecord> = None;
     for record in records {
@@ -136,14 +136,14 @@
             return fault("its content does not match its hash");
         }
         if number == 1 && record.prior != AuditHash::default() {
-            return fault("it is the first but names a record before it");
+            return fault("it is the first record but has the hash of a record before it");
         }
         if let Some(prior) = prior {
             if number != prior.number + 1 {
-                return fault("the number does not follow");
+                return fault("its number does not follow that of the record before it");
             }
             if record.prior != prior.hash {
-                return fault("it does not follow the record before it");
+                return fault("it does not have the hash of the record before it");
             }
         }
         prior = Some(record);
@@ -151,8 +151,8 @@
     Ok(())
 }
 
-/// What a new record says.
-pub(crate) struct Note {
+/// The contents of a new record.
+pub(crate) struct NewRecord {
     pub(crate) at: UnixMillis,
     pub(crate) operator: Option<OperatorName>,
     pub(crate) kind: AuditKind,
@@ -162,17 +162,17 @@
     pub(crate) outcome: AuditOutcome,
 }
 
-/// The latest records and the hash that the next one continues.
+/// The latest records, and the hash of the last one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Trail {
+pub(crate) struct AuditTrail {
     records: VecDeque<AuditRecord>,
     count: u64,
     last: AuditHash,
 }
 
-impl Trail {
-    pub(crate) fn push(&mut self, note: Note, most: u32) {
-        let Note { at, operator, kind, base, version, what, outcome } = note;
+impl AuditTrail {
+    pub(crate) fn push(&mut self, new_record: NewRecord, max_records: u32) {
+        let NewRecord { at, operator, kind, base, version, what, outcome } = new_record;
         self.count += 1;
         let (number, prior, hash) = (self.count, self.last, AuditHash::default());
         let mut record =
@@ -180,7 +180,7 @@
         record.hash = record.compute_hash();
         self.last = record.hash;
         self.records.push_back(record);
-        let excess = self.records.len().saturating_sub(most as usize);
+        let excess = self.records.len().saturating_sub(max_records as usize);
         self.records.drain(..excess);
     }
 
--- a/crates/state/src/change.rs
+++ b/crates/state/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes and marks, and the first answer to each.
+//! Changes and marks, and the first reply to each.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,27 +8,28 @@
 
 use crate::command::ChangeReply;
 
-/// How a change or mark was decided.
+/// The decision on a change or mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Decision {
-    /// Accepted as the version.
+    /// The change was accepted as the version.
     Accepted,
-    /// Refused at the version.
+    /// The change was refused at the version.
     Conflict,
-    /// Refused at the version, for the base is one that was not reached yet.
+    /// The change was refused at the version because its base is a version not reached yet.
     Ahead,
-    /// A mark, made under the version.
+    /// The mark was made under the version.
     Mark,
 }
 
-/// What an id stands for: the start of a SHA-256 of all that was asked.
+/// The first bytes of a SHA-256 hash of a whole request. An id may be sent again only with the same
+/// content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Content([u8; 8]);
+pub(crate) struct ContentHash([u8; 8]);
 
-impl Content {
-    pub(crate) fn of(asked: &impl Serialize) -> Self {
+impl ContentHash {
+    pub(crate) fn of(request: &impl Serialize) -> Self {
         // Writing to a vector cannot fail.
-        let hash = Sha256::digest(postcard::to_stdvec(asked).unwrap_or_default());
+        let hash = Sha256::digest(postcard::to_stdvec(request).unwrap_or_default());
         let mut start = [0; 8];
         start.copy_from_slice(&hash[..8]);
         Self(start)
@@ -36,25 +37,25 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Past {
-    content: Content,
+struct PastDecision {
+    content: ContentHash,
     version: Version,
     operator: u16,
     decision: Decision,
 }
 
-/// The ids of all changes and marks, with what is needed to answer them again.
+/// The ids of all changes and marks, with what is needed to repeat their replies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Changes {
-    past: BTreeMap<[u8; 16], Past>,
+    past: BTreeMap<[u8; 16], PastDecision>,
     operators: Vec<OperatorName>,
-    /// The answers to changes that were decided below this version are dropped.
+    /// The replies to changes that were decided below this version are dropped.
     horizon: Version,
 }
 
 impl Changes {
-    /// Returns the first answer to `id`, if there was one.
-    pub(crate) fn first(&self, id: ChangeId, content: Content) -> Option<ChangeReply> {
+    /// Returns the first reply to `id`, if there was one.
+    pub(crate) fn first_reply(&self, id: ChangeId, content: ContentHash) -> Option<ChangeReply> {
         let past = self.past.get(id.0.as_bytes())?;
         if past.content != content {
             return Some(ChangeReply::Reused);
@@ -65,16 +66,17 @@
         })
     }
 
-    /// Returns the answer to a change that lost against `version`.
+    /// Returns the reply to a change that lost to `version`.
     pub(crate) fn conflict(&self, version: Version) -> ChangeReply {
-        let won = |past: &Past| past.decision == Decision::Accepted && past.version == version;
+        let won =
+            |past: &PastDecision| past.decision == Decision::Accepted && past.version == version;
         let winner = self.past.iter().find(|(_, past)| won(past));
         let id = winner.map(|(id, _)| ChangeId(uuid::Uuid::from_bytes(*id)));
         let operator = winner.and_then(|(_, past)| self.operators.get(past.operator as usize));
         ChangeReply::Conflict { version, winner: id, operator: operator.cloned() }
     }
 
-    /// Tells whether a change on `base` may have been decided and its answer dropped.
+    /// Returns whether a change on `base` may have been decided and its reply dropped.
     pub(crate) fn is_forgotten(&self, base: Version) -> bool {
         base < self.horizon
     }
@@ -82,18 +84,18 @@
     pub(crate) fn insert(
         &mut self,
         id: ChangeId,
-        content: Content,
+        content: ContentHash,
         operator: &OperatorName,
         outcome: (Decision, Version),
     ) {
         let (decision, version) = outcome;
-        let operator = self.operator(operator);
-        self.past.insert(*id.0.as_bytes(), Past { content, version, operator, decision });
+        let operator = self.operator_index(operator);
+        self.past.insert(*id.0.as_bytes(), PastDecision { content, version, operator, decision });
     }
 
-    /// Numbers an operator. Past the largest number they share it, and a conflict names the
-    /// wrong one; that takes 65,536 names.
-    fn operator(&mut self, operator: &OperatorName) -> u16 {
+    /// Returns the index of an operator, and adds a new one. After 65,536 names, further
+    /// operators share the last index, and a conflict may name the wrong one.
+    fn operator_index(&mut self, operator: &OperatorName) -> u16 {
         let known = self.operators.iter().position(|it| it == operator);
         let index = known.unwrap_or_else(|| {
             self.operators.push(operator.clone());
@@ -102,14 +104,16 @@
         u16::try_from(index).unwrap_or(u16::MAX)
     }
 
-    /// Drops the older half of the answers once there are more than `most`. Changes from then
-    /// are told by their base, which lies before the horizon; marks, and changes on a version
-    /// that was not reached, have no such base and stay, with the winners the latter name.
-    pub(crate) fn trim(&mut self, most: u32) {
-        if self.past.len() <= most as usize {
+    /// Drops the older half of the replies once there are more than `max_replies`. Changes from
+    /// that time are recognized by their base, which is below the horizon. Marks, and changes on a
+    /// version that was not reached, have no such base and stay, as do the winners that the latter
+    /// name.
+    pub(crate) fn trim(&mut self, max_replies: u32) {
+        if self.past.len() <= max_replies as usize {
             return;
         }
-        let droppable = |past: &Past| !matches!(past.decision, Decision::Mark | Decision::Ahead);
+        let droppable =
+            |past: &PastDecision| !matches!(past.decision, Decision::Mark | Decision::Ahead);
         let mut versions: Vec<Version> =
             self.past.values().filter(|past| droppable(past)).map(|past| past.version).collect();
         versions.sort_unstable();
--- a/crates/state/src/claim.rs
+++ b/crates/state/src/claim.rs
@@ -1,8 +1,9 @@
 //! Idempotency claims: at most one granted claim for each key between releases.
 //!
-//! A key is absent, running, ended (with its answer, or lost with its owner) or a tombstone.
-//! Ended keys lose their answer's body first; later dated ones are dropped under a floor and
-//! undated ones become tombstones. A dropped or buried key is refused, never run.
+//! A key is absent, running, ended (with its answer, or lost with its owner) or a tombstone. Ended
+//! keys first lose the body of their answer. Later, dated keys are dropped and the date floor is
+//! raised above them, and undated keys become tombstones. A dropped key or a tombstone is refused
+//! and never runs again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -14,78 +15,81 @@
 };
 
 use crate::answers::Answers;
-use crate::key::{Short, date};
+use crate::incarnations::{IncarnationId, Incarnations};
+use crate::key::{ShortHash, key_date};
 use crate::limits::Limits;
-use crate::lives::{LifeId, Lives};
 
-/// How many ended keys one `Expire` looks at, so that none holds up the claims behind it.
-const EXPIRE_BATCH: usize = 10_000;
+/// The maximum number of ended keys that one `Expire` examines, so that none delays the claims
+/// after it.
+const EXPIRE_BATCH_KEYS: usize = 10_000;
 
-/// How long the note of a released ticket is kept, in milliseconds, on the leader's clock.
-const NOTE_KEEP: u64 = 3_600_000;
+/// How long a released ticket is kept, in milliseconds on the leader's clock.
+const RELEASED_RETENTION_MS: u64 = 3_600_000;
 
-/// The ticket of a claim, in short.
+/// The owner of a claim: a short form of its ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Proof {
-    life: LifeId,
+struct Owner {
+    incarnation: IncarnationId,
     attempt: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Running {
-    proof: Proof,
-    print: Short,
+    owner: Owner,
+    fingerprint: ShortHash,
     date: Option<u64>,
-    /// When it was asked.
+    /// The time of the request.
     at: UnixMillis,
 }
 
-/// The age of an ended key, in milliseconds since the Unix epoch.
+/// The time by which an ended key is aged, in milliseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Age {
-    /// The date that the key carries.
+    /// The date in the key.
     Dated(u64),
-    /// When it ended.
+    /// The time when the key ended.
     Undated(u64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum End {
     Done { outcome: Outcome, status: u16, digest: [u8; 32] },
-    Lost(Proof),
+    Lost(Owner),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Ended {
-    print: Short,
+    fingerprint: ShortHash,
     age: Age,
     end: End,
 }
 
-/// What became of a release.
+/// The outcome of a release.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Released {
-    /// The ticket holds nothing and never will.
-    Free,
-    /// Callers were told of the claim's end already, so it stays.
-    Stays(ClaimAnswer),
+pub(crate) enum ReleaseResult {
+    /// The ticket holds no claim and never will.
+    Released,
+    /// The claim stays, because callers were already told how it ended.
+    Kept(ClaimAnswer),
 }
 
 /// All claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Claims {
-    running: BTreeMap<Short, Running>,
-    ended: BTreeMap<Short, Ended>,
-    tombs: BTreeSet<Short>,
-    /// Released tickets, with the leader's time of the release.
-    notes: BTreeMap<(VmName, Incarnation, u64), UnixMillis>,
+    running: BTreeMap<ShortHash, Running>,
+    ended: BTreeMap<ShortHash, Ended>,
+    tombstones: BTreeSet<ShortHash>,
+    /// Released tickets, with the time of the release on the leader's clock.
+    released: BTreeMap<(VmName, Incarnation, u64), UnixMillis>,
     answers: Answers,
-    /// Dated keys from before this were dropped; an unknown one may be among them.
-    floor: u64,
-    /// Where the next `Expire` goes on.
-    cursor: Option<Short>,
-    /// The time of the last `Expire`. A wrong clock of one leader ends with its leadership.
-    clock: UnixMillis,
+    /// Dated keys from before this date were dropped. An unknown key from before it may be one of
+    /// them.
+    date_floor: u64,
+    /// The key after which the next `Expire` continues.
+    cursor: Option<ShortHash>,
+    /// The time of the last `Expire`. A wrong clock of one leader has no effect beyond its
+    /// leadership.
+    last_expire: UnixMillis,
 }
 
 impl Claims {
@@ -93,63 +97,65 @@
         &mut self,
         request: &ClaimRequest,
         at: UnixMillis,
-        state: (&Lives, &Limits),
+        state: (&Incarnations, &Limits),
     ) -> ClaimAnswer {
-        let (lives, limits) = state;
-        let key = Short::of_key(&request.key);
-        let print = Short::of_print(&request.fingerprint);
-        if let Some(answer) = self.known(&key, &print, &request.ticket, lives) {
+        let (incarnations, limits) = state;
+        let key = ShortHash::of_key(&request.key);
+        let fingerprint = ShortHash::of_fingerprint(&request.fingerprint);
+        if let Some(answer) =
+            self.existing_answer(&key, &fingerprint, &request.ticket, incarnations)
+        {
             return answer;
         }
-        let date = date(&request.key);
-        // What goes wrong: a key whose record was dropped is resent and looks new, so the call
-        // runs a second time. Dropping raised the floor above the key's date, and buried keys
-        // leave a tombstone.
-        if self.tombs.contains(&key) || date.is_some_and(|date| date < self.floor) {
+        let date = key_date(&request.key);
+        // Without this check, the resend of a key whose record was dropped would look new, and the
+        // call would run a second time. Dropping a record raised the floor above the key's date or
+        // left a tombstone.
+        if self.tombstones.contains(&key) || date.is_some_and(|date| date < self.date_floor) {
             return ClaimAnswer::Expired;
         }
-        // What goes wrong: the claim of a ticket arrives after its release, or after its owner
-        // was found lost. Granting it would block the key on behalf of nobody. Nothing is stored,
-        // so a resend through another entry still runs.
-        let Some(life) = lives.live(&request.ticket) else {
+        // The claim may arrive after the release of its ticket, or after its owner was declared
+        // lost. Granting it would block the key on behalf of nobody. Nothing is stored, so a resend
+        // through another entry process still runs.
+        let Some(incarnation) = incarnations.find_live(&request.ticket) else {
             return ClaimAnswer::OwnerLost;
         };
-        if self.notes.contains_key(&note(&request.ticket)) {
+        if self.released.contains_key(&released_ticket(&request.ticket)) {
             return ClaimAnswer::OwnerLost;
         }
         if self.keys() >= limits.claims.keys {
             return ClaimAnswer::Full;
         }
-        let proof = Proof { life, attempt: request.ticket.attempt };
-        self.running.insert(key, Running { proof, print, date, at });
+        let owner = Owner { incarnation, attempt: request.ticket.attempt };
+        self.running.insert(key, Running { owner, fingerprint, date, at });
         ClaimAnswer::Granted
     }
 
-    /// Answers for a key that is running or ended.
-    fn known(
+    /// Returns the answer for a key that is running or has ended.
+    fn existing_answer(
         &self,
-        key: &Short,
-        print: &Short,
+        key: &ShortHash,
+        fingerprint: &ShortHash,
         ticket: &ClaimTicket,
-        lives: &Lives,
+        incarnations: &Incarnations,
     ) -> Option<ClaimAnswer> {
         if let Some(it) = self.running.get(key) {
-            if it.print != *print {
+            if it.fingerprint != *fingerprint {
                 return Some(ClaimAnswer::Mismatch);
             }
-            if is_by(&it.proof, ticket, lives) {
+            if is_owned_by(&it.owner, ticket, incarnations) {
                 return Some(ClaimAnswer::Granted);
             }
             return Some(ClaimAnswer::Running);
         }
         let it = self.ended.get(key)?;
-        if it.print != *print {
+        if it.fingerprint != *fingerprint {
             return Some(ClaimAnswer::Mismatch);
         }
         Some(self.answer(key, &it.end))
     }
 
-    fn answer(&self, key: &Short, end: &End) -> ClaimAnswer {
+    fn answer(&self, key: &ShortHash, end: &End) -> ClaimAnswer {
         match *end {
             End::Done { outcome, status, digest } => {
                 let body = self.answers.get(key).map(<[u8]>::to_vec);
@@ -159,129 +165,134 @@
         }
     }
 
-    /// Stores the answer of the true owner, also where the owner was found lost meanwhile.
+    /// Stores the answer of the claim's owner, even if the owner was declared lost meanwhile.
     pub(crate) fn finish(
         &mut self,
         key: &ClaimKey,
         ticket: &ClaimTicket,
         answer: StoredAnswer,
         at: UnixMillis,
-        state: (&Lives, &Limits),
+        state: (&Incarnations, &Limits),
     ) {
-        let (lives, limits) = state;
-        let key = Short::of_key(key);
-        let (print, age) = if let Some(it) = self.running.get(&key) {
-            if !is_by(&it.proof, ticket, lives) {
+        let (incarnations, limits) = state;
+        let key = ShortHash::of_key(key);
+        let (fingerprint, age) = if let Some(it) = self.running.get(&key) {
+            if !is_owned_by(&it.owner, ticket, incarnations) {
                 return;
             }
-            (it.print, it.date.map_or(Age::Undated(at.0), Age::Dated))
+            (it.fingerprint, it.date.map_or(Age::Undated(at.0), Age::Dated))
         } else {
-            let Some(Ended { print, age, end: End::Lost(proof) }) = self.ended.get(&key) else {
+            let Some(Ended { fingerprint, age, end: End::Lost(owner) }) = self.ended.get(&key)
+            else {
                 return;
             };
-            if !is_by(proof, ticket, lives) {
+            if !is_owned_by(owner, ticket, incarnations) {
                 return;
             }
-            (*print, *age)
+            (*fingerprint, *age)
         };
         let StoredAnswer { outcome, status, body, digest } = answer;
         self.running.remove(&key);
-        self.ended.insert(key, Ended { print, age, end: End::Done { outcome, status, digest } });
+        self.ended
+            .insert(key, Ended { fingerprint, age, end: End::Done { outcome, status, digest } });
         let body = body.filter(|body| body.len() as u64 <= limits.claims.answer.0);
         if let Some(body) = body {
             self.answers.insert(key, body, at);
-            self.answers.trim(0, limits.bodies.0);
+            self.answers.trim(0, limits.body_memory.0);
         }
     }
 
-    /// Gives up a claim whose call was never sent.
+    /// Releases a claim whose call was never sent.
     pub(crate) fn release(
         &mut self,
         key: &ClaimKey,
         ticket: &ClaimTicket,
-        lives: &Lives,
-    ) -> Released {
-        let key = Short::of_key(key);
-        // What goes wrong: callers were told `unknown`, final, and act on it (they look up what
-        // happened and ask again under another key). If the old key could run after all, its
-        // resends would double that. So a lost claim stays lost.
+        incarnations: &Incarnations,
+    ) -> ReleaseResult {
+        let key = ShortHash::of_key(key);
+        // Callers were told the final answer `unknown` and act on it: they look up what happened
+        // and request it again under another key. If the old key could still run, its resends would
+        // run the request twice. So a lost claim stays lost.
         if let Some(it) = self.ended.get(&key) {
             let stays = match &it.end {
                 End::Done { .. } => true,
-                End::Lost(proof) => is_by(proof, ticket, lives),
+                End::Lost(owner) => is_owned_by(owner, ticket, incarnations),
             };
             if stays {
-                return Released::Stays(self.answer(&key, &it.end));
+                return ReleaseResult::Kept(self.answer(&key, &it.end));
             }
         }
-        if self.running.get(&key).is_some_and(|it| is_by(&it.proof, ticket, lives)) {
+        if self.running.get(&key).is_some_and(|it| is_owned_by(&it.owner, ticket, incarnations)) {
             self.running.remove(&key);
         }
-        self.notes.insert(note(ticket), self.clock);
-        Released::Free
+        self.released.insert(released_ticket(ticket), self.last_expire);
+        ReleaseResult::Released
     }
 
-    /// Ends every running claim of a life.
-    pub(crate) fn lose(&mut self, life: LifeId) {
-        let lost = self.running.extract_if(.., |_, it| it.proof.life == life);
+    /// Ends every running claim of an incarnation as lost.
+    pub(crate) fn lose_incarnation(&mut self, incarnation: IncarnationId) {
+        let lost = self.running.extract_if(.., |_, it| it.owner.incarnation == incarnation);
         self.ended.extend(lost.map(|(key, it)| {
             let age = it.date.map_or(Age::Undated(it.at.0), Age::Dated);
-            (key, Ended { print: it.print, age, end: End::Lost(it.proof) })
+            (key, Ended { fingerprint: it.fingerprint, age, end: End::Lost(it.owner) })
         }));
     }
 
-    /// Drops the notes of a superseded life, which gets no claim any more.
-    pub(crate) fn drop_notes(&mut self, vm: &VmName, owner: Incarnation) {
-        self.notes.retain(|(by, life, _), _| by != vm || *life != owner);
+    /// Drops the released tickets of a superseded incarnation, which gets no claim anyway.
+    pub(crate) fn drop_released(&mut self, vm: &VmName, owner: Incarnation) {
+        self.released.retain(|(by, incarnation, _), _| by != vm || *incarnation != owner);
     }
 
-    /// Ages answers, keys and notes.
+    /// Expires answers, ended keys and released tickets.
     pub(crate) fn expire(&mut self, at: UnixMillis, limits: &Limits) {
-        self.clock = at;
-        self.answers.trim(at.0.saturating_sub(limits.claims.answers.0), limits.bodies.0);
-        self.age_notes(at);
-        let since = at.0.saturating_sub(limits.dated.0);
+        self.last_expire = at;
+        self.answers.trim(at.0.saturating_sub(limits.claims.answers.0), limits.body_memory.0);
+        self.expire_released(at);
+        let since = at.0.saturating_sub(limits.key_retention.0);
         for (key, age) in self.next_batch() {
-            // A key that was old when it was first sent keeps its answer as long as any other.
+            // A key that was already old when it was first sent keeps its answer as long as any
+            // other.
             if self.answers.get(&key).is_some() {
                 continue;
             }
             match age {
                 Age::Dated(date) if date < since => {
                     self.ended.remove(&key);
-                    self.floor = self.floor.max(date + 1);
+                    self.date_floor = self.date_floor.max(date + 1);
                 }
                 Age::Undated(ended) if ended < since => {
                     self.ended.remove(&key);
-                    self.tombs.insert(key);
+                    self.tombstones.insert(key);
                 }
                 _ => {}
             }
         }
     }
 
-    fn age_notes(&mut self, at: UnixMillis) {
-        // Before the first `Expire` there is no time to note.
-        let untimed = self.notes.values_mut().filter(|noted| noted.0 == 0);
-        untimed.for_each(|noted| *noted = at);
-        self.notes.retain(|_, noted| noted.0.saturating_add(NOTE_KEEP) > at.0);
+    fn expire_released(&mut self, at: UnixMillis) {
+        // Tickets released before the first `Expire` have no time yet.
+        let untimed = self.released.values_mut().filter(|released_at| released_at.0 == 0);
+        untimed.for_each(|released_at| *released_at = at);
+        self.released
+            .retain(|_, released_at| released_at.0.saturating_add(RELEASED_RETENTION_MS) > at.0);
     }
 
-    /// Returns the ended keys that are due for a look, and moves the cursor past them.
-    fn next_batch(&mut self) -> Vec<(Short, Age)> {
+    /// Returns the next batch of ended keys to examine, and moves the cursor past them.
+    fn next_batch(&mut self) -> Vec<(ShortHash, Age)> {
         let from = self.cursor.map_or(Bound::Unbounded, Bound::Excluded);
         let batch: Vec<_> = self
             .ended
             .range((from, Bound::Unbounded))
-            .take(EXPIRE_BATCH)
+            .take(EXPIRE_BATCH_KEYS)
             .map(|(key, it)| (*key, it.age))
             .collect();
-        self.cursor = batch.last().filter(|_| batch.len() == EXPIRE_BATCH).map(|(key, _)| *key);
+        self.cursor =
+            batch.last().filter(|_| batch.len() == EXPIRE_BATCH_KEYS).map(|(key, _)| *key);
         batch
     }
 
     pub(crate) fn keys(&self) -> u64 {
-        (self.running.len() + self.ended.len() + self.tombs.len()) as u64
+        (self.running.len() + self.ended.len() + self.tombstones.len()) as u64
     }
 
     pub(crate) fn running(&self) -> u64 {
@@ -297,12 +308,12 @@
         self.ended.len() as u64
     }
 
-    pub(crate) fn tombs(&self) -> u64 {
-        self.tombs.len() as u64
+    pub(crate) fn tombstones(&self) -> u64 {
+        self.tombstones.len() as u64
     }
 
-    pub(crate) fn notes(&self) -> u64 {
-        self.notes.len() as u64
+    pub(crate) fn released(&self) -> u64 {
+        self.released.len() as u64
     }
 
     pub(crate) fn answers(&self) -> &Answers {
@@ -310,10 +321,10 @@
     }
 }
 
-fn note(ticket: &ClaimTicket) -> (VmName, Incarnation, u64) {
+fn released_ticket(ticket: &ClaimTicket) -> (VmName, Incarnation, u64) {
     (ticket.vm.clone(), ticket.owner, ticket.attempt)
 }
 
-fn is_by(proof: &Proof, ticket: &ClaimTicket, lives: &Lives) -> bool {
-    proof.attempt == ticket.attempt && lives.any(ticket) == Some(proof.life)
+fn is_owned_by(owner: &Owner, ticket: &ClaimTicket, incarnations: &Incarnations) -> bool {
+    owner.attempt == ticket.attempt && incarnations.find(ticket) == Some(owner.incarnation)
 }
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -1,4 +1,4 @@
-//! What the log's entries say, and what the state answers.
+//! The commands in the log's entries, and the state's replies.
 
 use crate::limits::Limits;
 use serde::{Deserialize, Serialize};
@@ -7,143 +7,145 @@
     NodeId, OperatorName, StoredAnswer, UnixMillis, UpstreamName, Version, VmName,
 };
 
-/// A command of the replicated log. Times are the proposer's wall clock and serve only the audit
-/// trail and the keeping of old answers.
+/// A command of the replicated log. Times are on the proposer's wall clock and are used only for
+/// the audit trail and for the retention of old answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// Replaces the service if `base` is the version in force.
     Change {
-        /// Told from other changes, also when sent again.
+        /// The id of the change; the same when it is sent again.
         id: ChangeId,
-        /// The version the operator saw.
+        /// The version that the operator saw.
         base: Version,
-        /// Who changes.
+        /// The operator.
         operator: OperatorName,
-        /// The new document, already checked.
+        /// The new document, already validated.
         document: Document,
-        /// When it was asked.
+        /// The time of the request.
         at: UnixMillis,
     },
-    /// An entry process started, or is heard again; an earlier life of its VM is lost for good.
-    /// A life gets no claim before its `Enter` is committed.
+    /// An entry process started, or is connected again. An earlier incarnation on its VM is lost
+    /// for good. An incarnation gets no claim before its `Enter` is committed.
     Enter {
         /// The VM.
         vm: VmName,
-        /// The life.
+        /// The incarnation.
         owner: Incarnation,
     },
-    /// An entry's session was silent for so long that callers must not wait for it any more.
+    /// The session of an entry process was silent for so long that callers must not wait for it any
+    /// more.
     Lost {
         /// The VM.
         vm: VmName,
-        /// The life.
+        /// The incarnation.
         owner: Incarnation,
     },
-    /// Asks for a claim.
+    /// Requests a claim.
     Claim {
-        /// What is asked.
+        /// The request.
         request: ClaimRequest,
-        /// When.
+        /// The time of the request.
         at: UnixMillis,
     },
     /// Stores the answer of a claim.
     Finish {
-        /// The claim.
+        /// The key of the claim.
         key: ClaimKey,
-        /// Its proof.
+        /// The ticket of the claim.
         proof: ClaimTicket,
         /// The answer.
         answer: StoredAnswer,
-        /// When.
+        /// The time of the request.
         at: UnixMillis,
     },
-    /// Gives up a claim whose call was never sent. A `Claim` of the same ticket that commits
-    /// later grants nothing.
+    /// Releases a claim whose call was never sent. A `Claim` of the same ticket that commits later
+    /// is not granted.
     Release {
-        /// The claim.
+        /// The key of the claim.
         key: ClaimKey,
-        /// Its proof.
+        /// The ticket of the claim.
         proof: ClaimTicket,
     },
-    /// Sets the limits, and drops answers and dated keys that are older than these say. The
-    /// leader proposes it every few seconds; one command works through a bounded number of keys.
+    /// Sets the limits, and drops answers and dated keys that are older than the limits allow. The
+    /// leader proposes it every few seconds; one command processes a bounded number of keys.
     Expire {
-        /// Now.
+        /// The current time.
         at: UnixMillis,
         /// The limits, from the service in force.
         limits: Limits,
     },
-    /// Takes the next fencing number for an order to an upstream.
+    /// Takes the next fencing number, for an order to an upstream.
     Order {
         /// The upstream.
         upstream: UpstreamName,
         /// The whole target, as text for the audit trail.
         target: String,
-        /// When.
+        /// The time of the request.
         at: UnixMillis,
     },
-    /// Records a change of members in the audit trail.
+    /// Records a change of the membership in the audit trail.
     Member {
-        /// What happened, in plain words.
+        /// A description of the change.
         what: String,
         /// The VM.
         vm: VmName,
-        /// The life of its data folder.
+        /// The id of the member's data folder.
         node: NodeId,
-        /// Who asked; `None` where the system repaired itself.
+        /// The operator; `None` if the system repaired itself.
         operator: Option<OperatorName>,
-        /// When.
+        /// The time of the request.
         at: UnixMillis,
     },
-    /// An operator's mark on an upstream: leaving, or taken back.
+    /// Sets or clears an operator's mark on an upstream that it is leaving.
     Mark {
-        /// Told from other marks, also when sent again.
+        /// The id of the mark; the same when it is sent again.
         id: ChangeId,
         /// The upstream.
         upstream: UpstreamName,
-        /// Whether it is leaving.
+        /// Whether the upstream is leaving.
         leaving: bool,
-        /// Who marks.
+        /// The operator.
         operator: OperatorName,
-        /// When.
+        /// The time of the request.
         at: UnixMillis,
     },
 }
 
-/// What became of a change; the same for every resend of its id.
+/// The reply to a change; the same for every resend of its id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeReply {
-    /// It is in force as this version.
+    /// The change is in force as this version.
     Accepted(Version),
-    /// Another change won: the version in force, and who made it.
+    /// Another change won.
     Conflict {
-        /// The version in force when this change was decided.
+        /// The version in force when the change was decided.
         version: Version,
-        /// The winner's id.
+        /// The id of the change that won.
         winner: Option<ChangeId>,
-        /// The winner's operator.
+        /// The operator of the change that won.
         operator: Option<OperatorName>,
     },
     /// The id was used before with another content.
     Reused,
-    /// The id is not known, and `base` is so old that the answers of its time are dropped: the
-    /// change may have been decided before. It has no effect now.
+    /// The id is unknown, and `base` is so old that the replies of its time are dropped. The change
+    /// may have been decided before. It has no effect now.
     Forgotten {
         /// The version in force.
         version: Version,
     },
 }
 
-/// The state's answer to a command.
+/// The state's reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// To `Change` and `Mark`.
+    /// The reply to `Change` and `Mark`.
     Change(ChangeReply),
-    /// To `Claim`. To `Release` where the claim could not be given up, for it is answered as
-    /// `OwnerLost` or `Done` already: the entry must not say `not-run`.
+    /// The reply to `Claim`. Also the reply to `Release` if the claim can't be released because
+    /// callers were already told `OwnerLost` or `Done`: the entry process must then not answer
+    /// `not-run`.
     Claim(ClaimAnswer),
-    /// To `Order`.
+    /// The reply to `Order`.
     Fence(Fence),
-    /// To the rest.
+    /// The reply to all other commands.
     Done,
 }
--- a/crates/state/src/diff.rs
+++ b/crates/state/src/diff.rs
@@ -1,42 +1,42 @@
-//! A readable summary of what a change of the document changes.
+//! A readable summary of a change of the document.
 
 use std::collections::BTreeMap;
 
 use types::Document;
 
-/// The most characters of a summary.
-const SUMMARY_LIMIT: usize = 600;
+/// The maximum length of the lines in a summary, in bytes, without the note on omitted lines.
+const SUMMARY_MAX_BYTES: usize = 600;
 
-/// The most characters shown of one line.
-const LINE_LIMIT: usize = 80;
+/// The maximum length of a line in a summary, in characters.
+const LINE_MAX_CHARS: usize = 80;
 
-/// Lists the lines that went and came, file by file: `base -3 "a": 1; base +3 "a": 2`.
+/// Lists the lines that were removed and added, file by file: `base -3 "a": 1; base +3 "a": 2`.
 pub(crate) fn summary(old: &Document, new: &Document) -> String {
-    let mut parts = lines("base", &old.base, &new.base);
+    let mut parts = changed_lines("base", &old.base, &new.base);
     for (site, text) in &new.overlays {
         let before = old.overlays.get(site).map_or("", String::as_str);
-        parts.extend(lines(site.as_str(), before, text));
+        parts.extend(changed_lines(site.as_str(), before, text));
     }
     for (site, text) in old.overlays.iter().filter(|(site, _)| !new.overlays.contains_key(site)) {
-        parts.extend(lines(site.as_str(), text, ""));
+        parts.extend(changed_lines(site.as_str(), text, ""));
     }
     shorten(&parts)
 }
 
-fn lines(file: &str, old: &str, new: &str) -> Vec<String> {
+fn changed_lines(file: &str, old: &str, new: &str) -> Vec<String> {
     if old == new {
         return Vec::new();
     }
-    let mut parts = only(file, '-', old, new);
-    parts.extend(only(file, '+', new, old));
+    let mut parts = unmatched_lines(file, '-', old, new);
+    parts.extend(unmatched_lines(file, '+', new, old));
     if parts.is_empty() {
         parts.push(format!("{file}: lines moved or blanks changed"));
     }
     parts
 }
 
-/// Lists the lines of `text` that `other` does not have, or has fewer times.
-fn only(file: &str, sign: char, text: &str, other: &str) -> Vec<String> {
+/// Lists the lines of `text` that `other` lacks or holds fewer times.
+fn unmatched_lines(file: &str, sign: char, text: &str, other: &str) -> Vec<String> {
     let mut left: BTreeMap<&str, usize> = BTreeMap::new();
     for line in other.lines() {
         *left.entry(line.trim()).or_default() += 1;
@@ -47,7 +47,11 @@
         match left.get_mut(line) {
             Some(count) if *count > 0 => *count -= 1,
             _ if line.is_empty() => {}
-            _ => parts.push(format!("{file} {sign}{} {}", number + 1, cut(line, LINE_LIMIT))),
+            _ => parts.push(format!(
+                "{file} {sign}{} {}",
+                number + 1,
+                truncate(line, LINE_MAX_CHARS)
+            )),
         }
     }
     parts
@@ -56,7 +60,7 @@
 fn shorten(parts: &[String]) -> String {
     let mut text = String::new();
     for (shown, part) in parts.iter().enumerate() {
-        if text.len() + part.len() > SUMMARY_LIMIT {
+        if text.len() + part.len() > SUMMARY_MAX_BYTES {
             text.push_str(&format!("; and {} more lines", parts.len() - shown));
             return text;
         }
@@ -68,8 +72,8 @@
     text
 }
 
-fn cut(line: &str, most: usize) -> &str {
-    match line.char_indices().nth(most) {
+fn truncate(line: &str, max_chars: usize) -> &str {
+    match line.char_indices().nth(max_chars) {
         Some((end, _)) => &line[..end],
         None => line,
     }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,6 +1,8 @@
-//! The replicated state: service versions, changes, audit trail, claims, members, fences.
+//! The replicated state: service versions, changes, audit trail, claims, members and fencing
+//! numbers.
 //!
-//! Everything here is a function of the commands in their order: no clock, no randomness, no I/O.
+//! The state is a function of the commands in their order. The crate reads no clock, uses no
+//! randomness and does no I/O.
 
 mod answers;
 mod audit;
@@ -8,9 +10,9 @@
 mod claim;
 mod command;
 mod diff;
+mod incarnations;
 mod key;
 mod limits;
-mod lives;
 mod state;
 
 pub use audit::{AuditBreak, AuditHash, AuditKind, AuditOutcome, AuditRecord, verify};
--- a/crates/state/src/limits.rs
+++ b/crates/state/src/limits.rs
@@ -1,33 +1,33 @@
-//! How much is kept, and for how long.
+//! Limits on the size and age of what the state keeps.
 
 use serde::{Deserialize, Serialize};
 use types::{ByteSize, ClaimLimits, Millis};
 
-const DAY: u64 = 24 * 3_600_000;
+const DAY_MS: u64 = 24 * 3_600_000;
 
-/// Limits of the state. All replicas take them from the same `Expire` command.
+/// The limits of the state. All replicas take them from the same `Expire` command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
     /// The operators' limits on claims.
     pub claims: ClaimLimits,
     /// How long a dated key, and the digest of any answer, is kept.
-    pub dated: Millis,
-    /// The memory for all answers that are kept whole, in bytes; the oldest go first.
-    pub bodies: ByteSize,
-    /// How many change ids keep their first answer.
-    pub changes: u32,
-    /// How many records of the audit trail are kept.
-    pub audit: u32,
+    pub key_retention: Millis,
+    /// The memory for answers that are kept whole, in bytes. The oldest are dropped first.
+    pub body_memory: ByteSize,
+    /// The number of change ids whose first reply is kept.
+    pub max_changes: u32,
+    /// The number of audit records that are kept.
+    pub max_records: u32,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             claims: ClaimLimits::default(),
-            dated: Millis(7 * DAY),
-            bodies: ByteSize(16 << 20),
-            changes: 1 << 20,
-            audit: 50_000,
+            key_retention: Millis(7 * DAY_MS),
+            body_memory: ByteSize(16 << 20),
+            max_changes: 1 << 20,
+            max_records: 50_000,
         }
     }
 }
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -1,4 +1,4 @@
-//! The state itself: what each command does to it.
+//! The state, and the effect of each command.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,50 +9,50 @@
     StepResult, UnixMillis, UpstreamName, Version, VmName,
 };
 
-use crate::audit::{AuditKind, AuditOutcome, AuditRecord, Note, Trail};
-use crate::change::{Changes, Content, Decision};
-use crate::claim::{Claims, Released};
+use crate::audit::{AuditKind, AuditOutcome, AuditRecord, AuditTrail, NewRecord};
+use crate::change::{Changes, ContentHash, Decision};
+use crate::claim::{Claims, ReleaseResult};
 use crate::command::{ChangeReply, Command, Reply};
 use crate::diff;
+use crate::incarnations::Incarnations;
 use crate::limits::Limits;
-use crate::lives::Lives;
 
-/// The form of the snapshot, its first byte.
-const FORM: u8 = 1;
+/// The format of the snapshot, stored in its first byte.
+const SNAPSHOT_FORMAT: u8 = 1;
 
-/// An operator's mark: the upstream is leaving.
+/// An operator's mark that an upstream is leaving.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// Who marked it.
+    /// The operator.
     pub operator: OperatorName,
-    /// When.
+    /// The time of the request.
     pub at: UnixMillis,
 }
 
-/// How much the state holds.
+/// The sizes of the parts of the state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Claims whose call may be under way.
+    /// Claims whose call may be in flight.
     pub running: u64,
     /// Claims that ended with an answer.
     pub done: u64,
     /// Claims whose owner was lost.
     pub lost: u64,
-    /// Undated keys of which only the digest is left.
-    pub tombs: u64,
-    /// Keys in all; the limit applies to these.
+    /// Undated keys that were dropped, of which only a short hash is left.
+    pub tombstones: u64,
+    /// All keys; the limit applies to this number.
     pub keys: u64,
-    /// Answers kept whole.
+    /// Answers whose body is kept.
     pub answers: u64,
-    /// Notes of released tickets.
-    pub notes: u64,
-    /// Lives of entry processes that are remembered.
-    pub lives: u64,
+    /// Released tickets.
+    pub released: u64,
+    /// Incarnations of entry processes.
+    pub incarnations: u64,
     /// Ids of changes and marks.
     pub changes: u64,
     /// Records of the audit trail.
     pub audit: u64,
-    /// An estimate of the memory in bytes.
+    /// An estimate of the memory, in bytes.
     pub bytes: ByteSize,
 }
 
@@ -64,42 +64,42 @@
     changes: Changes,
     marks: BTreeMap<UpstreamName, Mark>,
     fences: BTreeMap<UpstreamName, Fence>,
-    trail: Trail,
-    lives: Lives,
+    trail: AuditTrail,
+    incarnations: Incarnations,
     claims: Claims,
     limits: Limits,
 }
 
 impl State {
-    /// Makes the state before the first command.
+    /// Creates the state before the first command.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Applies the command at `index` of the log. A log entry must be applied exactly once.
+    /// Applies the command at `index` of the log. Every log entry must be applied exactly once.
     pub fn apply(&mut self, index: LogIndex, command: Command) -> Reply {
         match command {
             Command::Change { id, base, operator, document, at } => {
-                let asked = Asked { id, operator, at };
-                Reply::Change(self.change(asked, base, document))
+                let request = RequestInfo { id, operator, at };
+                Reply::Change(self.change(request, base, document))
             }
             Command::Mark { id, upstream, leaving, operator, at } => {
-                let asked = Asked { id, operator, at };
-                Reply::Change(self.mark(asked, upstream, leaving))
+                let request = RequestInfo { id, operator, at };
+                Reply::Change(self.mark(request, upstream, leaving))
             }
             Command::Enter { vm, owner } => self.enter(&vm, owner),
             Command::Lost { vm, owner } => self.lose(&vm, owner),
             Command::Claim { request, at } => {
-                Reply::Claim(self.claims.claim(&request, at, (&self.lives, &self.limits)))
+                Reply::Claim(self.claims.claim(&request, at, (&self.incarnations, &self.limits)))
             }
             Command::Finish { key, proof, answer, at } => {
-                self.claims.finish(&key, &proof, answer, at, (&self.lives, &self.limits));
+                self.claims.finish(&key, &proof, answer, at, (&self.incarnations, &self.limits));
                 Reply::Done
             }
             Command::Release { key, proof } => {
-                match self.claims.release(&key, &proof, &self.lives) {
-                    Released::Free => Reply::Done,
-                    Released::Stays(answer) => Reply::Claim(answer),
+                match self.claims.release(&key, &proof, &self.incarnations) {
+                    ReleaseResult::Released => Reply::Done,
+                    ReleaseResult::Kept(answer) => Reply::Claim(answer),
                 }
             }
             Command::Expire { at, limits } => self.expire(at, limits),
@@ -112,29 +112,34 @@
         }
     }
 
-    /// Writes the whole state.
+    /// Encodes the whole state.
     pub fn snapshot(&self) -> Vec<u8> {
         // Writing to a vector cannot fail.
-        postcard::to_extend(self, vec![FORM]).unwrap_or_default()
+        postcard::to_extend(self, vec![SNAPSHOT_FORMAT]).unwrap_or_default()
     }
 
-    /// Reads what [`State::snapshot`] wrote.
+    /// Decodes the output of [`State::snapshot`].
     ///
     /// # Errors
-    /// Where the data is of another form or damaged.
+    /// If the data is damaged or has another format.
     pub fn restore(data: &[u8]) -> StepResult<State> {
         let fault = |why: String| StepError::new("restore state", why);
         match data.split_first() {
-            Some((&FORM, rest)) => {
+            Some((&SNAPSHOT_FORMAT, rest)) => {
                 let read = postcard::take_from_bytes::<State>(rest);
                 let (state, left) = read.map_err(|e| fault(e.to_string()))?;
                 if !left.is_empty() {
-                    return Err(fault(format!("{} bytes too many", left.len())));
+                    return Err(fault(format!(
+                        "the snapshot is followed by {} extra bytes",
+                        left.len()
+                    )));
                 }
                 Ok(state)
             }
-            Some((form, _)) => Err(fault(format!("form {form} is not known to this version"))),
-            None => Err(fault("it is empty".to_owned())),
+            Some((format, _)) => {
+                Err(fault(format!("this release can't read snapshot format {format}")))
+            }
+            None => Err(fault("the snapshot is empty".to_owned())),
         }
     }
 
@@ -163,18 +168,18 @@
         &self.marks
     }
 
-    /// Returns the latest fencing number of an upstream.
+    /// Returns the latest fencing number of an upstream, if any.
     pub fn fence(&self, upstream: &UpstreamName) -> Option<Fence> {
         self.fences.get(upstream).copied()
     }
 
-    /// Lists the entry processes that may get claims: one of each VM that ever entered. Each
-    /// that has no session for long must be told lost.
+    /// Lists the entry processes that may get claims: at most one of each VM. A process whose
+    /// session stays away for long must be declared lost by a `Lost` command.
     pub fn lives(&self) -> impl Iterator<Item = (&VmName, Incarnation)> {
-        self.lives.all_live()
+        self.incarnations.live()
     }
 
-    /// Counts what the state holds.
+    /// Returns the sizes of the parts of the state.
     pub fn counts(&self) -> Counts {
         let claims = &self.claims;
         let lost = claims.lost();
@@ -182,23 +187,23 @@
             running: claims.running(),
             done: claims.ended() - lost,
             lost,
-            tombs: claims.tombs(),
+            tombstones: claims.tombstones(),
             keys: claims.keys(),
             answers: claims.answers().count(),
-            notes: claims.notes(),
-            lives: self.lives.count(),
+            released: claims.released(),
+            incarnations: self.incarnations.count(),
             changes: self.changes.len(),
             audit: self.trail.len(),
             bytes: ByteSize(0),
         };
-        counts.bytes = ByteSize(estimate(&counts) + claims.answers().bytes());
+        counts.bytes = ByteSize(estimate_bytes(&counts) + claims.answers().bytes());
         counts
     }
 
-    fn change(&mut self, asked: Asked, base: Version, document: Document) -> ChangeReply {
-        let content = Content::of(&("change", base, &asked.operator, &document));
+    fn change(&mut self, request: RequestInfo, base: Version, document: Document) -> ChangeReply {
+        let content = ContentHash::of(&("change", base, &request.operator, &document));
         let what = diff::summary(&self.document, &document);
-        let (reply, outcome) = self.decide(&asked, base, content);
+        let (reply, outcome) = self.decide(&request, base, content);
         let Some(outcome) = outcome else {
             return reply;
         };
@@ -206,28 +211,28 @@
             self.version = Version(self.version.0 + 1);
             self.document = Arc::new(document);
         }
-        let note = Note {
-            at: asked.at,
-            operator: Some(asked.operator),
+        let new_record = NewRecord {
+            at: request.at,
+            operator: Some(request.operator),
             kind: AuditKind::Change,
             base: Some(base),
             version: self.version,
             what,
             outcome,
         };
-        self.trail.push(note, self.limits.audit);
+        self.trail.push(new_record, self.limits.max_records);
         reply
     }
 
-    /// Decides a change and keeps the decision. The outcome is `None` for a resend.
+    /// Decides a change and stores the decision. The outcome is `None` for a resend.
     fn decide(
         &mut self,
-        asked: &Asked,
+        request: &RequestInfo,
         base: Version,
-        content: Content,
+        content: ContentHash,
     ) -> (ChangeReply, Option<AuditOutcome>) {
         let version = self.version;
-        match self.changes.first(asked.id, content) {
+        match self.changes.first_reply(request.id, content) {
             Some(ChangeReply::Reused) => {
                 return (ChangeReply::Reused, Some(AuditOutcome::Reused));
             }
@@ -242,20 +247,20 @@
             std::cmp::Ordering::Less => (Decision::Conflict, version),
             std::cmp::Ordering::Greater => (Decision::Ahead, version),
         };
-        self.changes.insert(asked.id, content, &asked.operator, (decision, at));
-        self.changes.trim(self.limits.changes);
+        self.changes.insert(request.id, content, &request.operator, (decision, at));
+        self.changes.trim(self.limits.max_changes);
         if decision == Decision::Accepted {
             return (ChangeReply::Accepted(at), Some(AuditOutcome::Accepted));
         }
         (self.changes.conflict(version), Some(AuditOutcome::Conflict))
     }
 
-    fn mark(&mut self, asked: Asked, upstream: UpstreamName, leaving: bool) -> ChangeReply {
-        let content = Content::of(&("mark", &upstream, leaving, &asked.operator));
-        let Asked { id, operator, at } = asked;
+    fn mark(&mut self, request: RequestInfo, upstream: UpstreamName, leaving: bool) -> ChangeReply {
+        let content = ContentHash::of(&("mark", &upstream, leaving, &request.operator));
+        let RequestInfo { id, operator, at } = request;
         let word = if leaving { "leaving" } else { "taken back" };
         let what = format!("{upstream} {word}");
-        match self.changes.first(id, content) {
+        match self.changes.first_reply(id, content) {
             Some(ChangeReply::Reused) => {
                 self.record_as(at, Some(operator), (AuditKind::Mark, AuditOutcome::Reused), what);
                 return ChangeReply::Reused;
@@ -274,16 +279,16 @@
     }
 
     fn enter(&mut self, vm: &VmName, owner: Incarnation) -> Reply {
-        if let Some(old) = self.lives.enter(vm, owner) {
-            self.claims.lose(old.life);
-            self.claims.drop_notes(vm, old.owner);
+        if let Some(old) = self.incarnations.enter(vm, owner) {
+            self.claims.lose_incarnation(old.id);
+            self.claims.drop_released(vm, old.owner);
         }
         Reply::Done
     }
 
     fn lose(&mut self, vm: &VmName, owner: Incarnation) -> Reply {
-        if let Some(life) = self.lives.lose(vm, owner) {
-            self.claims.lose(life);
+        if let Some(id) = self.incarnations.mark_lost(vm, owner) {
+            self.claims.lose_incarnation(id);
         }
         Reply::Done
     }
@@ -295,10 +300,10 @@
                 limits.claims.keys,
                 limits.claims.answers,
                 limits.claims.answer,
-                limits.dated,
-                limits.bodies,
-                limits.changes,
-                limits.audit
+                limits.key_retention,
+                limits.body_memory,
+                limits.max_changes,
+                limits.max_records
             );
             self.limits = limits;
             self.record(at, None, AuditKind::Limits, what);
@@ -340,32 +345,32 @@
         what: String,
     ) {
         let version = self.version;
-        let note = Note { at, operator, kind, base: None, version, what, outcome };
-        self.trail.push(note, self.limits.audit);
+        let new_record = NewRecord { at, operator, kind, base: None, version, what, outcome };
+        self.trail.push(new_record, self.limits.max_records);
     }
 }
 
-/// What a change and a mark have in common.
-struct Asked {
+/// The fields that a change and a mark have in common.
+struct RequestInfo {
     id: ChangeId,
     operator: OperatorName,
     at: UnixMillis,
 }
 
-/// Estimates bytes from the costs measured in docs/notes/claims.md.
-fn estimate(counts: &Counts) -> u64 {
-    const RUNNING: u64 = 110;
-    const ENDED: u64 = 134;
-    const TOMB: u64 = 34;
-    const NOTE: u64 = 95;
-    const LIFE: u64 = 28;
-    const CHANGE: u64 = 63;
-    const AUDIT: u64 = 232;
-    counts.running * RUNNING
-        + (counts.done + counts.lost) * ENDED
-        + counts.tombs * TOMB
-        + counts.notes * NOTE
-        + counts.lives * LIFE
-        + counts.changes * CHANGE
-        + counts.audit * AUDIT
+/// Estimates the memory in bytes. The example `claim_cost` measures the cost of each kind.
+fn estimate_bytes(counts: &Counts) -> u64 {
+    const RUNNING_BYTES: u64 = 110;
+    const ENDED_BYTES: u64 = 134;
+    const TOMBSTONE_BYTES: u64 = 34;
+    const RELEASED_BYTES: u64 = 95;
+    const INCARNATION_BYTES: u64 = 28;
+    const CHANGE_BYTES: u64 = 63;
+    const RECORD_BYTES: u64 = 232;
+    counts.running * RUNNING_BYTES
+        + (counts.done + counts.lost) * ENDED_BYTES
+        + counts.tombstones * TOMBSTONE_BYTES
+        + counts.released * RELEASED_BYTES
+        + counts.incarnations * INCARNATION_BYTES
+        + counts.changes * CHANGE_BYTES
+        + counts.audit * RECORD_BYTES
 }
--- a/crates/state/tests/commands/changes.rs
+++ b/crates/state/tests/commands/changes.rs
@@ -1,4 +1,4 @@
-//! Changes, marks, fences and the audit trail.
+//! Tests of changes, marks, fencing numbers and the audit trail.
 
 use state::{AuditRecord, ChangeReply, Command, Reply, State, verify};
 use types::{ChangeId, Fence, LogIndex, UnixMillis, Version};
@@ -26,10 +26,9 @@
     Command::Order { upstream, target: target.to_owned(), at: UnixMillis(6) }
 }
 
-// Symptom: an operator whose answer was lost resends a change and it is applied twice, or it is
-// told another outcome than at first.
-// Sequence: two operators race on one base; hundreds of changes and a restart follow; both resend.
-// Cause: ids that are forgotten with the log, or a resend that is judged by its base alone.
+// Guards against a resent change that is applied twice or gets another reply than at first. Two
+// operators race on one base; hundreds of changes and a restart follow; both resend. Ids must
+// outlast the log, and a resend must not be judged by its base alone.
 #[test]
 fn a_resent_change_gets_its_first_answer() {
     let mut state = State::new();
@@ -55,7 +54,7 @@
     assert_eq!(state.version(), Version(401));
     assert_eq!(state.document().base, "text 400");
 
-    // Past the limit the older answers go, and a resend learns that.
+    // Past the limit, the older replies are dropped, and a resend is told so.
     state.apply(LogIndex(1), expire(1));
     apply(&mut state, change(3, 401, "ana", "three"));
     let forgotten = ChangeReply::Forgotten { version: Version(402) };
@@ -118,9 +117,8 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-// Symptom: a record of the audit trail was changed, left out or moved, and nobody notices.
-// Sequence: someone edits the trail; `verify` reads it.
-// Cause: a field outside the hash, or a hash that does not cover the record before.
+// Guards against an audit record that is changed, left out or moved without notice. Every field
+// must be in the hash, and the hash must cover the record before.
 #[test]
 fn any_flipped_bit_and_any_gap_in_the_audit_trail_is_found() {
     let records = trail();
@@ -131,12 +129,13 @@
         let mut bytes = bytes.clone();
         bytes[bit / 8] ^= 1 << (bit % 8);
         if let Ok((changed, _)) = postcard::take_from_bytes::<Vec<AuditRecord>>(&bytes) {
-            // A flipped count only cuts the end off, which the hash of the last record tells.
+            // A flipped count only cuts the end off, which a reader detects by the hash of the last
+            // record.
             let cut = changed.len() < records.len() && records.starts_with(&changed);
             assert!(cut || verify(&changed).is_err(), "bit {bit}");
         }
     }
-    // A forged record with a hash of its own, and one with another number.
+    // A forged record with a valid hash of its own, and a record with another number.
     let mut forged = records.clone();
     forged[2].what = "nothing".to_owned();
     forged[2].hash = forged[2].compute_hash();
--- a/crates/state/tests/commands/claims.rs
+++ b/crates/state/tests/commands/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: at most one grant a key, and true answers to everyone else.
+//! Tests of claims: at most one grant for each key, and correct answers to all other requests.
 
 use state::{Command, Reply, State};
 use types::{ClaimAnswer, LogIndex, StoredAnswer};
@@ -9,7 +9,7 @@
 
 struct Case {
     name: &'static str,
-    /// After two entries, `a` and `b`, entered with life 1.
+    /// The steps after two entry processes, `a` and `b`, entered with incarnation 1.
     steps: Vec<(Command, Reply)>,
 }
 
@@ -46,9 +46,10 @@
     }
 }
 
-// Symptom: a booking runs twice, or a resend gets a wrong answer.
-// Sequence: resends through other entries, with other content, with commands delivered twice.
-// Cause: a grant to a second ticket, an answer of another request, a stranger's proof taken.
+// Guards against a booking that runs twice, and a resend that gets a wrong answer. Resends come
+// through other entry processes, with other content, and with commands delivered twice. A second
+// ticket must not be granted, and neither the answer of another request nor another owner's ticket
+// may be accepted.
 #[test]
 fn one_ticket_is_granted_and_resends_get_its_answer() {
     let (a, b, k) = (ticket("a", 1, 10), ticket("b", 1, 20), UNDATED);
@@ -88,12 +89,12 @@
     ]);
 }
 
-// Symptom: a resend runs although the dead entry's call may have run, or waits for ever.
-// Sequence: an entry dies, restarts, or is silent and comes back, with claims under way; its old
-// commands are delivered late.
-// Cause: a claim taken over, a superseded life that counts as alive, a true answer refused.
+// Guards against a resend that runs although the call of a dead entry process may have run, or that
+// waits forever. An entry process dies, restarts, or is silent and comes back, with claims in
+// flight; its old commands are delivered late. Its claims must not be taken over, a superseded
+// incarnation must not count as alive, and the owner's own late answer must be accepted.
 #[test]
-fn a_lost_owner_leaves_unknown_for_good_unless_it_knows_better() {
+fn claims_of_a_lost_owner_stay_lost_unless_it_finishes_them() {
     let (a, b, k) = (ticket("a", 1, 10), ticket("b", 1, 20), UNDATED);
     check(vec![
         Case {
@@ -135,9 +136,9 @@
     ]);
 }
 
-// Symptom: a caller is told not-run, and its key never runs, or runs for nobody.
-// Sequence: an entry gives up a claim whose answer it never saw; the claim commits after that.
-// Cause: a release that finds nothing leaves nothing behind.
+// Guards against a caller that is told `not-run` while its key never runs, or runs for nobody. An
+// entry process releases a claim whose answer it never saw, and the claim commits after that. A
+// release that finds no claim must still be recorded.
 #[test]
 fn a_released_ticket_is_never_granted_later() {
     let (a, b, k) = (ticket("a", 1, 10), ticket("b", 1, 20), UNDATED);
@@ -165,9 +166,8 @@
     ]);
 }
 
-// Symptom: a request runs again after its key was forgotten.
-// Sequence: a key ends, its answer and then its record grow too old, a resend arrives.
-// Cause: a record dropped without a trace.
+// Guards against a request that runs again after its key was dropped. A key ends, its answer and
+// then its record expire, and a resend arrives. A dropped record must leave a trace.
 #[test]
 fn an_old_key_is_refused_and_never_runs_again() {
     let (a, b) = (ticket("a", 1, 10), ticket("b", 1, 20));
--- a/crates/state/tests/commands/main.rs
+++ b/crates/state/tests/commands/main.rs
@@ -1,4 +1,4 @@
-//! Sequences of commands and what the state must answer.
+//! Tests of sequences of commands and the replies of the state.
 
 mod changes;
 mod claims;
--- a/crates/state/tests/commands/replicas.rs
+++ b/crates/state/tests/commands/replicas.rs
@@ -1,4 +1,4 @@
-//! Any sequence of commands: replicas agree, and the promises hold.
+//! Random sequences of commands: replicas must agree and invariants must hold.
 
 use std::collections::BTreeMap;
 
@@ -35,11 +35,11 @@
     ]
 }
 
-/// What the answers so far bind the state to.
+/// The constraints that the replies so far put on later ones.
 #[derive(Default)]
-struct Promises {
+struct Invariants {
     holders: BTreeMap<ClaimKey, ClaimTicket>,
-    /// By id and content: past its limit the state takes an id with other content for a new one.
+    /// By id and content: past its limit, the state treats an id with other content as a new one.
     changes: BTreeMap<String, ChangeReply>,
     version: Version,
     fence: u64,
@@ -49,13 +49,13 @@
     !matches!(reply, ChangeReply::Reused | ChangeReply::Forgotten { .. })
 }
 
-impl Promises {
+impl Invariants {
     fn check(&mut self, command: &Command, reply: &Reply, state: &State) {
         match (command, reply) {
             (Command::Claim { request, .. }, Reply::Claim(ClaimAnswer::Granted)) => {
                 let holder = self.holders.entry(request.key.clone());
                 let holder = holder.or_insert(request.ticket.clone());
-                assert_eq!(*holder, request.ticket, "a second grant");
+                assert_eq!(*holder, request.ticket, "the claim was granted to a second ticket");
             }
             (Command::Release { key, proof }, Reply::Done)
                 if self.holders.get(key) == Some(proof) =>
@@ -64,34 +64,34 @@
             }
             (Command::Change { .. }, Reply::Change(reply)) if is_first(reply) => {
                 let first = self.changes.entry(format!("{command:?}")).or_insert(reply.clone());
-                assert_eq!(first, reply, "another answer");
+                assert_eq!(first, reply, "a resent change got another reply");
             }
             (_, Reply::Fence(fence)) => {
-                assert!(fence.0 > self.fence, "a fence that does not rise");
+                assert!(fence.0 > self.fence, "the fencing number did not increase");
                 self.fence = fence.0;
             }
             _ => {}
         }
-        assert!(state.version() >= self.version, "a version that goes back");
+        assert!(state.version() >= self.version, "the version decreased");
         self.version = state.version();
     }
 }
 
 proptest! {
-    // Symptom: two members answer differently, a key runs twice, an accepted change goes back.
-    // Sequence: any commands in any order, with a snapshot and restore at any point.
-    // Cause: something that decides is not in the snapshot, or a rule has a hole.
+    // Guards against members that reply differently, a key that runs twice, and an accepted change
+    // that is undone. The commands come in any order, with a snapshot and restore at any point. All
+    // that a decision depends on must be in the snapshot.
     #[test]
-    fn replicas_agree_and_no_promise_breaks(
+    fn replicas_agree_and_invariants_hold(
         commands in prop::collection::vec((commands(), prop::bool::weighted(0.2)), 1..120),
     ) {
         let (mut one, mut other) = (State::new(), State::new());
-        let mut promises = Promises::default();
+        let mut invariants = Invariants::default();
         for (index, (command, restart)) in commands.into_iter().enumerate() {
             let index = LogIndex(index as u64 + 1);
             let reply = one.apply(index, command.clone());
             prop_assert_eq!(&reply, &other.apply(index, command.clone()));
-            promises.check(&command, &reply, &one);
+            invariants.check(&command, &reply, &one);
             if restart {
                 other = State::restore(&other.snapshot()).unwrap();
             }
--- a/crates/state/tests/commands/support.rs
+++ b/crates/state/tests/commands/support.rs
@@ -1,4 +1,4 @@
-//! Short ways to write commands.
+//! Helpers that build commands.
 
 use state::{Command, Limits};
 use types::{
@@ -12,7 +12,7 @@
     name.parse().unwrap()
 }
 
-/// A UUIDv7 that carries the time.
+/// Returns a UUIDv7 with the given time.
 pub(crate) fn dated(at: u64) -> String {
     format!("{:08x}-{:04x}-7000-8000-000000000001", at >> 16, at & 0xffff)
 }
@@ -21,7 +21,7 @@
     ClaimKey { customer: "yard".parse().unwrap(), key: text.parse().unwrap() }
 }
 
-/// A ticket: the VM, its life, the attempt.
+/// Returns a ticket of a VM, its incarnation and the attempt.
 pub(crate) fn ticket(name: &str, owner: u64, attempt: u64) -> ClaimTicket {
     ClaimTicket { vm: vm(name), owner: Incarnation(owner), attempt }
 }
@@ -56,13 +56,19 @@
     Command::Release { key: key(text), proof }
 }
 
-/// Answers are kept for 1 s and up to 8 bytes, two of them, dated keys for 3 s, three
-/// keys in all.
+/// Returns limits that keep answers for 1 s and up to 8 bytes, two of them in all; dated keys for 3
+/// s; and three keys in all.
 pub(crate) fn limits() -> Limits {
     let answer = types::ByteSize(8);
     let claims = ClaimLimits { answer, answers: Millis(1_000), keys: 3 };
-    let bodies = types::ByteSize(250);
-    Limits { dated: Millis(3_000), bodies, changes: 8, audit: 1_000, ..Limits::from(claims) }
+    let body_memory = types::ByteSize(250);
+    Limits {
+        key_retention: Millis(3_000),
+        body_memory,
+        max_changes: 8,
+        max_records: 1_000,
+        ..Limits::from(claims)
+    }
 }
 
 pub(crate) fn expire(at: u64) -> Command {
