--- a/crates/disk/examples/write_cost.rs
+++ b/crates/disk/examples/write_cost.rs
@@ -1,4 +1,4 @@
-//! Measures what a synced write, a snapshot and a start cost in the folder that the argument
+//! Measures the duration of a synced write, a snapshot and a start in the folder that the argument
 //! names.
 
 use std::io::{self, Write};
@@ -8,10 +8,10 @@
 use disk::{DiskError, Record, Store};
 use types::LogIndex;
 
-/// How many writes are timed.
+/// The number of timed writes.
 const WRITES: u64 = 2_000;
 
-/// The bytes of one record: a claim with its entry of the log.
+/// The size of one record in bytes: a claim in its log entry.
 const RECORD: usize = 110;
 
 fn timed(work: impl FnOnce() -> Result<(), DiskError>) -> io::Result<Duration> {
--- a/crates/disk/src/batch.rs
+++ b/crates/disk/src/batch.rs
@@ -1,29 +1,29 @@
-//! What a frame of the log holds.
+//! The contents of log frames and snapshot headers.
 
 use serde::{Deserialize, Serialize};
 use types::LogIndex;
 
-/// One record of the log.
+/// A record of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its position.
+    /// The index of the record.
     pub index: LogIndex,
-    /// Its bytes.
+    /// The contents.
     pub data: Vec<u8>,
 }
 
-/// What one synced write adds to the log, as it is read.
+/// The part of the log that one synced write adds, as read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub(crate) struct Batch {
-    /// In a file's first batch: the index before the first record that the file can hold.
+    /// In the first batch of a file, the index before the first record that the file can hold.
     pub(crate) base: Option<LogIndex>,
-    /// The hard state from here on.
+    /// The new hard state, if it changed.
     pub(crate) hard_state: Option<Vec<u8>>,
     /// The records.
     pub(crate) records: Vec<Record>,
 }
 
-/// What one synced write adds to the log, as it is written.
+/// The part of the log that one synced write adds, as written.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct BatchRef<'a> {
     pub(crate) base: Option<LogIndex>,
@@ -33,7 +33,8 @@
 
 impl BatchRef<'_> {
     pub(crate) fn encode(&self) -> Vec<u8> {
-        // Writing to a vector cannot fail: the types have no custom code and lengths are known.
+        // Encoding to a vector can't fail: the types have no custom serializers and all lengths are
+        // known.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 }
@@ -50,12 +51,12 @@
 }
 
 impl Log {
-    /// Returns the last index.
+    /// Returns the last index of the log.
     pub(crate) fn last(&self) -> LogIndex {
         self.records.last().map_or(self.base, |record| record.index)
     }
 
-    /// Adds a batch; `None` where it does not follow.
+    /// Adds a batch; returns `None` if its records do not follow the log.
     pub(crate) fn add(&mut self, batch: Batch) -> Option<()> {
         if let Some(base) = batch.base {
             self.base = base;
@@ -76,15 +77,15 @@
     }
 }
 
-/// What a snapshot file says before its data.
+/// The header of a snapshot file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct SnapshotHead {
-    /// The last index it covers.
+pub(crate) struct SnapshotHeader {
+    /// The last index that the snapshot covers.
     pub(crate) index: LogIndex,
     /// Logs of an older generation are void.
-    pub(crate) floor: u64,
-    /// Whether it was written to void the log before it.
-    pub(crate) voids: bool,
-    /// The hard state, where the snapshot voids the log that holds it.
+    pub(crate) min_generation: u64,
+    /// Whether the snapshot was installed in place of the log, which is then void.
+    pub(crate) voids_log: bool,
+    /// The hard state, if the snapshot voids the log that holds it.
     pub(crate) hard_state: Option<Vec<u8>>,
 }
--- a/crates/disk/src/delay.rs
+++ b/crates/disk/src/delay.rs
@@ -1,24 +1,25 @@
-//! A disk that is slow on purpose: in debug builds tests set the time of a sync of a running process.
+//! An artificial sync delay. In debug builds, tests use it to slow down the disk of a running
+//! process.
 
 use std::path::Path;
 #[cfg(debug_assertions)]
 use std::path::PathBuf;
 
-/// The file in the data folder that holds the milliseconds by which each sync is delayed.
+/// The file in the data folder with the delay of each sync, in milliseconds.
 #[cfg(debug_assertions)]
-const DELAY: &str = "sync-delay-ms";
+const DELAY_FILE: &str = "sync-delay-ms";
 
-/// The delay of a folder's syncs; none in a release build.
+/// The sync delay of a data folder; none in a release build.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Delay {
+pub(crate) struct SyncDelay {
     #[cfg(debug_assertions)]
     file: PathBuf,
 }
 
-impl Delay {
+impl SyncDelay {
     pub(crate) fn of(folder: &Path) -> Self {
         #[cfg(debug_assertions)]
-        return Self { file: folder.join(DELAY) };
+        return Self { file: folder.join(DELAY_FILE) };
         #[cfg(not(debug_assertions))]
         {
             let _ = folder;
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Waits as long as the file says at this moment.
+    /// Waits for the duration that the file holds at this moment.
     pub(crate) fn wait(&self) {
         #[cfg(debug_assertions)]
         if let Ok(text) = std::fs::read_to_string(&self.file)
--- a/crates/disk/src/error.rs
+++ b/crates/disk/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with the data folder.
+//! Errors of the data folder.
 
 use std::fmt;
 use std::io;
@@ -6,12 +6,12 @@
 
 use types::LogIndex;
 
-/// An error of the data folder; it names the file and what to do.
+/// An error of the data folder. Its text names the file and tells what to do.
 #[derive(Debug)]
 pub enum DiskError {
-    /// An operation on a file failed. The store takes nothing more.
+    /// An operation on a file failed. The store accepts no further calls.
     Io {
-        /// What was being done.
+        /// The operation.
         step: &'static str,
         /// The file.
         path: PathBuf,
@@ -24,22 +24,22 @@
         path: PathBuf,
         /// The offset in bytes.
         offset: u64,
-        /// What was found.
-        why: String,
+        /// The damage that was found.
+        reason: String,
     },
-    /// Another process has the folder.
+    /// Another process uses the folder.
     Locked(PathBuf),
-    /// An earlier operation failed, so what is on the disk is not known any more.
+    /// An earlier operation failed, so the contents of the disk are unknown.
     Poisoned,
-    /// The folder has an identity already.
-    Identified,
-    /// Nothing may be written before the identity is.
-    Unidentified,
+    /// The folder already has an identity.
+    IdentityExists,
+    /// The folder has no identity yet; it must be written first.
+    NoIdentity,
     /// The index does not follow the log.
     Gap {
         /// The index that was given.
         index: LogIndex,
-        /// The index before the first that may be replaced.
+        /// The index before the first one that may be replaced.
         base: LogIndex,
         /// The last index of the log.
         last: LogIndex,
@@ -52,8 +52,8 @@
         move |cause| Self::Io { step, path, cause }
     }
 
-    pub(crate) fn damaged(path: &Path, offset: u64, why: impl Into<String>) -> Self {
-        Self::Damaged { path: path.to_owned(), offset, why: why.into() }
+    pub(crate) fn damaged(path: &Path, offset: u64, reason: impl Into<String>) -> Self {
+        Self::Damaged { path: path.to_owned(), offset, reason: reason.into() }
     }
 }
 
@@ -65,9 +65,9 @@
                 "{step} {}: {cause}; check space and health of the disk, then restart",
                 path.display()
             ),
-            DiskError::Damaged { path, offset, why } => write!(
+            DiskError::Damaged { path, offset, reason } => write!(
                 f,
-                "{} at byte {offset}: {why}; this disk cannot be trusted: move the data folder \
+                "{} at byte {offset}: {reason}; this disk cannot be trusted: move the data folder \
                  away and start with an empty one, the member comes back as a learner",
                 path.display()
             ),
@@ -79,10 +79,13 @@
             DiskError::Poisoned => {
                 f.write_str("an earlier write or sync failed; restart the process")
             }
-            DiskError::Identified => f.write_str("the data folder has an identity already"),
-            DiskError::Unidentified => f.write_str("the data folder has no identity yet"),
+            DiskError::IdentityExists => f.write_str("the data folder already has an identity"),
+            DiskError::NoIdentity => f.write_str("the data folder has no identity yet"),
             DiskError::Gap { index, base, last } => {
-                write!(f, "index {index} does not follow a log that holds {base} to {last}")
+                write!(
+                    f,
+                    "index {index} does not follow the log, which starts after {base} and ends at {last}"
+                )
             }
         }
     }
--- a/crates/disk/src/files.rs
+++ b/crates/disk/src/files.rs
@@ -1,4 +1,4 @@
-//! The file operations the store needs, so that tests can make each of them fail.
+//! The file operations of the store, as a trait, so that tests can make each of them fail.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
@@ -7,38 +7,38 @@
 
 use rustix::fs::{FlockOperation, flock};
 
-use crate::delay::Delay;
+use crate::delay::SyncDelay;
 
-/// File operations. Each may fail, and a write may be short.
+/// File operations. Each may fail, and a write may write only a part of the data.
 pub trait Files {
     /// An open file.
     type File;
 
-    /// Makes the folder and the ones above it.
+    /// Creates a folder and its parents.
     ///
     /// # Errors
     /// As the file system reports.
     fn make_folder(&self, folder: &Path) -> io::Result<()>;
 
-    /// Lists the names in a folder.
+    /// Lists the names of the files in a folder.
     ///
     /// # Errors
     /// As the file system reports.
     fn names(&self, folder: &Path) -> io::Result<Vec<String>>;
 
-    /// Reads a whole file; `None` where there is none.
+    /// Reads a whole file; returns `None` if it does not exist.
     ///
     /// # Errors
     /// As the file system reports.
     fn read(&self, path: &Path) -> io::Result<Option<Vec<u8>>>;
 
-    /// Opens a file for writing and makes it where there is none; its bytes stay.
+    /// Opens a file for writing and creates it if it does not exist. Its contents are kept.
     ///
     /// # Errors
     /// As the file system reports.
     fn open(&self, path: &Path) -> io::Result<Self::File>;
 
-    /// Writes at an offset and returns how many bytes were taken.
+    /// Writes at an offset and returns the number of bytes written.
     ///
     /// # Errors
     /// As the file system reports.
@@ -50,19 +50,19 @@
     /// As the file system reports.
     fn resize(&self, file: &Self::File, length: u64) -> io::Result<()>;
 
-    /// Returns once the file's bytes are on the disk.
+    /// Syncs the contents of a file to the disk.
     ///
     /// # Errors
     /// As the file system reports.
     fn sync(&self, file: &Self::File) -> io::Result<()>;
 
-    /// Returns once the folder's names are on the disk.
+    /// Syncs the file names in a folder to the disk.
     ///
     /// # Errors
     /// As the file system reports.
     fn sync_folder(&self, folder: &Path) -> io::Result<()>;
 
-    /// Renames a file over another.
+    /// Renames a file and replaces the target if it exists.
     ///
     /// # Errors
     /// As the file system reports.
@@ -74,23 +74,23 @@
     /// As the file system reports.
     fn remove(&self, path: &Path) -> io::Result<()>;
 
-    /// Locks an open file for as long as it is open; false where another holds the lock.
+    /// Locks an open file until it is closed; returns false if another process holds the lock.
     ///
     /// # Errors
     /// As the file system reports.
     fn lock(&self, file: &Self::File) -> io::Result<bool>;
 }
 
-/// The operating system's files.
+/// The file operations of the operating system.
 #[derive(Clone, Debug, Default)]
 pub struct OsFiles {
-    delay: Delay,
+    delay: SyncDelay,
 }
 
 impl OsFiles {
-    /// Gives access to the files of one data folder.
+    /// Returns the file operations for one data folder, with its sync delay.
     pub fn of(folder: &Path) -> Self {
-        Self { delay: Delay::of(folder) }
+        Self { delay: SyncDelay::of(folder) }
     }
 }
 
@@ -154,7 +154,7 @@
     }
 }
 
-/// Writes all of `data`, however short the single writes are.
+/// Writes all of `data`, with as many writes as it takes.
 pub(crate) fn write_all<F: Files>(
     files: &F,
     file: &F::File,
--- a/crates/disk/src/frame.rs
+++ b/crates/disk/src/frame.rs
@@ -1,4 +1,4 @@
-//! Checksummed frames: the only form in which bytes lie in the data folder.
+//! Checksummed frames. Everything in the data folder is stored in frames.
 //!
 //! | bytes | field |
 //! |---|---|
@@ -9,137 +9,137 @@
 //! | 28..32 | CRC-32 of the payload |
 //! | 32..36 | CRC-32 of the bytes before |
 //!
-//! The head has a checksum of its own, so that a damaged length is never believed.
+//! The header has a checksum of its own, so that a damaged length is never used.
 
 use std::ops::Range;
 
-/// The length of a frame's head in bytes.
-pub const HEAD: usize = 36;
+/// The length of a frame's header in bytes.
+pub const HEADER_BYTES: usize = 36;
 
 const MAGIC: [u8; 4] = *b"mpF1";
-const SECTOR: usize = 512;
+const SECTOR_BYTES: usize = 512;
 
-/// A frame's place: the file's generation and the frame's number in it.
+/// The id of a frame: the generation of the file and the number of the frame in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct FrameId {
     /// The generation of the file.
     pub generation: u64,
     /// The number of the frame, from 0.
     pub number: u64,
 }
 
-/// A valid head.
+/// A header whose checksum matches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Head {
-    place: Place,
+struct Header {
+    id: FrameId,
     length: u64,
-    check: u32,
+    payload_crc: u32,
 }
 
-/// What lies at an offset.
+/// The result of reading a frame at an offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
-    /// The data ends here.
+pub enum FrameRead {
+    /// The data ends at the offset.
     End,
-    /// A whole frame; the range of its payload.
+    /// A complete frame. Holds the range of its payload.
     Frame(Range<usize>),
-    /// A write that never got to the disk in full.
+    /// A write that did not reach the disk completely.
     Torn,
-    /// Bytes that changed after they were written.
+    /// Bytes that changed after they were written. Holds the reason.
     Damaged(&'static str),
 }
 
-/// Makes a frame.
-pub fn encode(place: Place, payload: &[u8]) -> Vec<u8> {
-    let mut frame = Vec::with_capacity(HEAD + payload.len());
+/// Encodes a frame.
+pub fn encode(id: FrameId, payload: &[u8]) -> Vec<u8> {
+    let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
     frame.extend_from_slice(&MAGIC);
-    frame.extend_from_slice(&place.generation.to_le_bytes());
-    frame.extend_from_slice(&place.number.to_le_bytes());
+    frame.extend_from_slice(&id.generation.to_le_bytes());
+    frame.extend_from_slice(&id.number.to_le_bytes());
     frame.extend_from_slice(&(payload.len() as u64).to_le_bytes());
     frame.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
-    let check = crc32fast::hash(&frame);
-    frame.extend_from_slice(&check.to_le_bytes());
+    let header_crc = crc32fast::hash(&frame);
+    frame.extend_from_slice(&header_crc.to_le_bytes());
     frame.extend_from_slice(payload);
     frame
 }
 
-fn word(data: &[u8], at: usize) -> u64 {
+fn read_u64(data: &[u8], at: usize) -> u64 {
     let mut bytes = [0; 8];
     bytes.copy_from_slice(&data[at..at + 8]);
     u64::from_le_bytes(bytes)
 }
 
-fn half(data: &[u8], at: usize) -> u32 {
+fn read_u32(data: &[u8], at: usize) -> u32 {
     let mut bytes = [0; 4];
     bytes.copy_from_slice(&data[at..at + 4]);
     u32::from_le_bytes(bytes)
 }
 
-fn head(data: &[u8], at: usize) -> Option<Head> {
-    let head = data.get(at..at.checked_add(HEAD)?)?;
-    if head[..4] != MAGIC || half(head, 32) != crc32fast::hash(&head[..32]) {
+fn read_header(data: &[u8], at: usize) -> Option<Header> {
+    let header = data.get(at..at.checked_add(HEADER_BYTES)?)?;
+    if header[..4] != MAGIC || read_u32(header, 32) != crc32fast::hash(&header[..32]) {
         return None;
     }
-    let place = Place { generation: word(head, 4), number: word(head, 12) };
-    Some(Head { place, length: word(head, 20), check: half(head, 28) })
+    let id = FrameId { generation: read_u64(header, 4), number: read_u64(header, 12) };
+    Some(Header { id, length: read_u64(header, 20), payload_crc: read_u32(header, 28) })
 }
 
 /// Reads the frame that is expected at `at`, and tells a torn write from damage.
 ///
-/// What goes wrong: a batch that was never synced and one whose bytes rotted both fail their
-/// checksum, yet the first may be dropped and the second must not be. Two facts tell them apart.
-/// The next batch is only written once the one before is synced, so a later frame proves damage.
+/// A batch that was never synced and a synced one whose bytes were damaged both fail their
+/// checksum, but the first may be dropped and the second must not be. Two facts tell them apart.
+/// The next batch is written only once the previous one is synced, so a later frame proves damage.
 /// And an unsynced write lacks whole sectors (the file is short, or they read as zeros), which a
-/// flipped bit does not bring about.
-pub fn read(data: &[u8], at: usize, place: Place) -> Found {
+/// flipped bit does not cause.
+pub fn read(data: &[u8], at: usize, id: FrameId) -> FrameRead {
     if at >= data.len() {
-        return Found::End;
+        return FrameRead::End;
     }
-    let Some(head) = head(data, at) else {
-        return broken_head(data, at, place);
+    let Some(header) = read_header(data, at) else {
+        return classify_bad_header(data, at, id);
     };
-    if head.place != place {
-        return Found::Damaged("a frame that belongs elsewhere");
+    if header.id != id {
+        return FrameRead::Damaged("the frame belongs to another file or position");
     }
-    let start = at + HEAD;
-    let end = usize::try_from(head.length).ok().and_then(|length| start.checked_add(length));
+    let start = at + HEADER_BYTES;
+    let end = usize::try_from(header.length).ok().and_then(|length| start.checked_add(length));
     let Some(end) = end.filter(|end| *end <= data.len()) else {
-        return torn_unless_followed(data, at, place);
+        return torn_or_damaged(data, at, id);
     };
-    if crc32fast::hash(&data[start..end]) == head.check {
-        return Found::Frame(start..end);
+    if crc32fast::hash(&data[start..end]) == header.payload_crc {
+        return FrameRead::Frame(start..end);
     }
-    if !has_hole(&data[..end], at) {
-        return Found::Damaged("the checksum does not match and no sector is missing");
+    if !has_zeroed_sector(&data[..end], at) {
+        return FrameRead::Damaged("the checksum does not match and no sector is missing");
     }
-    torn_unless_followed(data, at, place)
+    torn_or_damaged(data, at, id)
 }
 
-fn broken_head(data: &[u8], at: usize, place: Place) -> Found {
-    let end = at + HEAD;
-    if end <= data.len() && !has_hole(&data[..end], at) {
-        return Found::Damaged("the head's checksum does not match and no sector is missing");
+fn classify_bad_header(data: &[u8], at: usize, id: FrameId) -> FrameRead {
+    let end = at + HEADER_BYTES;
+    if end <= data.len() && !has_zeroed_sector(&data[..end], at) {
+        return FrameRead::Damaged("the header's checksum does not match and no sector is missing");
     }
-    torn_unless_followed(data, at, place)
+    torn_or_damaged(data, at, id)
 }
 
-fn torn_unless_followed(data: &[u8], at: usize, place: Place) -> Found {
+fn torn_or_damaged(data: &[u8], at: usize, id: FrameId) -> FrameRead {
     let later = |at: usize| {
-        head(data, at).is_some_and(|head| {
-            head.place.generation == place.generation && head.place.number > place.number
+        read_header(data, at).is_some_and(|header| {
+            header.id.generation == id.generation && header.id.number > id.number
         })
     };
-    if (at + 1..data.len().saturating_sub(HEAD - 1)).any(later) {
-        return Found::Damaged("a damaged frame before a later one");
+    if (at + 1..data.len().saturating_sub(HEADER_BYTES - 1)).any(later) {
+        return FrameRead::Damaged("a damaged frame precedes a valid one");
     }
-    Found::Torn
+    FrameRead::Torn
 }
 
-/// Tells whether some sector of `data[from..]` holds nothing but zeros.
-fn has_hole(data: &[u8], from: usize) -> bool {
+/// Returns whether any sector of `data[from..]` is all zeros.
+fn has_zeroed_sector(data: &[u8], from: usize) -> bool {
     let mut at = from;
     while at < data.len() {
-        let end = data.len().min((at / SECTOR + 1) * SECTOR);
+        let end = data.len().min((at / SECTOR_BYTES + 1) * SECTOR_BYTES);
         if data[at..end].iter().all(|byte| *byte == 0) {
             return true;
         }
--- a/crates/disk/src/lib.rs
+++ b/crates/disk/src/lib.rs
@@ -1,9 +1,9 @@
-//! The log and the snapshots in the data folder: bytes that outlast a crash, without any notion
-//! of consensus.
+//! Durable storage of a log and its snapshots in a data folder. It survives crashes and knows
+//! nothing of consensus.
 //!
-//! A folder holds `lock`, `identity`, one live log `log-GENERATION`, the latest
-//! `snapshot-INDEX`, and `synced`, a note of how much of the log was acknowledged. Everything is
-//! made of checksummed frames (see [`frame`]).
+//! A folder holds the files `lock` and `identity`, one live log `log-GENERATION`, the latest
+//! snapshot `snapshot-INDEX`, and `synced`, which records how much of the log was acknowledged. All
+//! contents are stored in checksummed frames (see [`frame`]).
 
 mod batch;
 mod delay;
@@ -17,6 +17,6 @@
 pub use batch::Record;
 pub use error::DiskError;
 pub use files::{Files, OsFiles};
-pub use recover::{Cut, Recovered};
+pub use recover::{Recovered, TornTail};
 pub use store::Store;
-pub use writer::{Ended, Write, Writer, Written};
+pub use writer::{Write, WriteResult, Writer, WriterStopped};
--- a/crates/disk/src/writer.rs
+++ b/crates/disk/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writes to a data folder on a thread of its own, so that whoever orders them need not wait.
+//! Writes to a data folder on a separate thread, so that the caller need not wait.
 
 use std::fmt;
 use std::io;
@@ -13,61 +13,62 @@
 use crate::files::{Files, OsFiles};
 use crate::store::Store;
 
-/// One write.
+/// A write to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// Hard state and records, as [`Store::write`] takes them.
+    /// The hard state and records, as in [`Store::write`].
     Log {
         /// The hard state, if it changed.
         hard_state: Option<Vec<u8>>,
         /// The records.
         records: Vec<Record>,
     },
-    /// A snapshot from the leader in place of the whole log, and what comes with it.
+    /// A snapshot from the leader that replaces the whole log, with the hard state and the records
+    /// after it.
     Install {
         /// The hard state, if it changed. It is written first: a snapshot of a later term must not
-        /// outlive a vote of that term.
+        /// survive a crash without the vote of that term.
         hard_state: Option<Vec<u8>>,
         /// The last index that the snapshot covers.
         index: LogIndex,
-        /// The snapshot.
+        /// The encoded snapshot.
         data: Vec<u8>,
-        /// The records after it.
+        /// The records after the snapshot.
         records: Vec<Record>,
     },
-    /// A snapshot of the own state, after which the log before `keep` is dropped.
+    /// A snapshot of this node's own state. After it, the log before `keep` is dropped.
     Snapshot {
         /// The last index that the snapshot covers.
         index: LogIndex,
-        /// The snapshot.
+        /// The encoded snapshot.
         data: Vec<u8>,
-        /// The first index that stays in the log.
+        /// The first index to keep in the log.
         keep: LogIndex,
     },
 }
 
-/// What became of a write.
+/// The result of a write.
 #[derive(Debug)]
-pub struct Written {
-    /// Whether all of it is on the disk; after a failure the store takes nothing more.
+pub struct WriteResult {
+    /// Whether all of the write is on disk. After a failure the store accepts no further writes.
     pub result: Result<(), DiskError>,
-    /// How long it took.
+    /// The duration of the write.
     pub took: Duration,
-    /// The length of the log after it.
+    /// The length of the log file after the write, in bytes.
     pub log_size: ByteSize,
 }
 
-/// The thread has ended, so nothing is written any more.
+/// The error of a call after the thread has stopped. Nothing is written any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ended;
+pub struct WriterStopped;
 
-impl fmt::Display for Ended {
+impl fmt::Display for WriterStopped {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the thread that writes to the data folder has ended")
+        f.write_str("the thread that writes to the data folder has stopped")
     }
 }
 
-impl std::error::Error for Ended {}
+impl std::error::Error for WriterStopped {}
 
 type Call<F> = Box<dyn FnOnce(&mut Store<F>) + Send>;
 
@@ -76,7 +77,7 @@
     Call(Call<F>),
 }
 
-/// The thread that owns a store. Dropping it waits until what was ordered is written.
+/// The thread that owns a store. Dropping the writer waits until all submitted jobs are done.
 #[derive(Debug)]
 pub struct Writer<F: Files = OsFiles> {
     jobs: Option<Sender<Job<F>>>,
@@ -88,45 +89,48 @@
     F: Files + Send + 'static,
     F::File: Send,
 {
-    /// Starts the thread; `written` is called there after each write, in the order of the orders.
+    /// Starts the thread. It calls `on_written` after each write, in the order of submission.
     ///
     /// # Errors
-    /// Where no thread can be started.
-    pub fn spawn(store: Store<F>, written: impl Fn(Written) + Send + 'static) -> io::Result<Self> {
-        let (jobs, orders) = mpsc::channel();
+    /// Fails if the thread can't be started.
+    pub fn spawn(
+        store: Store<F>,
+        on_written: impl Fn(WriteResult) + Send + 'static,
+    ) -> io::Result<Self> {
+        let (jobs, receiver) = mpsc::channel();
         let thread = std::thread::Builder::new()
             .name("disk".to_owned())
-            .spawn(move || run(store, &orders, written))?;
+            .spawn(move || run_jobs(store, &receiver, on_written))?;
         Ok(Self { jobs: Some(jobs), thread: Some(thread) })
     }
 
-    /// Orders a write.
+    /// Submits a write.
     ///
     /// # Errors
-    /// Where the thread has ended.
-    pub fn submit(&self, write: Write) -> Result<(), Ended> {
+    /// Fails if the thread has stopped.
+    pub fn submit(&self, write: Write) -> Result<(), WriterStopped> {
         self.send(Job::Write(write))
     }
 
-    /// Runs `call` on the store after all that was ordered before, and waits for it.
+    /// Runs `call` on the store after all jobs submitted before, and waits for it.
     ///
     /// # Errors
-    /// Where the thread has ended.
+    /// Fails if the thread has stopped.
     pub fn call<T: Send + 'static>(
         &self,
         call: impl FnOnce(&mut Store<F>) -> T + Send + 'static,
-    ) -> Result<T, Ended> {
+    ) -> Result<T, WriterStopped> {
         let (reply, result) = mpsc::channel();
         self.send(Job::Call(Box::new(move |store| {
-            // The asker waits for it below.
+            // Can't fail: the caller waits for the result below.
             let _ = reply.send(call(store));
         })))?;
-        result.recv().map_err(|_| Ended)
+        result.recv().map_err(|_| WriterStopped)
     }
 
-    fn send(&self, job: Job<F>) -> Result<(), Ended> {
-        let jobs = self.jobs.as_ref().ok_or(Ended)?;
-        jobs.send(job).map_err(|_| Ended)
+    fn send(&self, job: Job<F>) -> Result<(), WriterStopped> {
+        let jobs = self.jobs.as_ref().ok_or(WriterStopped)?;
+        jobs.send(job).map_err(|_| WriterStopped)
     }
 }
 
@@ -136,15 +140,17 @@
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
-            log::error!(
-                "the thread that writes to the data folder ended by a fault of the program"
-            );
+            log::error!("the thread that writes to the data folder panicked");
         }
     }
 }
 
-fn run<F: Files>(mut store: Store<F>, orders: &Receiver<Job<F>>, written: impl Fn(Written)) {
-    while let Ok(job) = orders.recv() {
+fn run_jobs<F: Files>(
+    mut store: Store<F>,
+    receiver: &Receiver<Job<F>>,
+    on_written: impl Fn(WriteResult),
+) {
+    while let Ok(job) = receiver.recv() {
         let began = Instant::now();
         let result = match job {
             Job::Write(write) => store.apply(&write),
@@ -153,7 +159,7 @@
                 continue;
             }
         };
-        written(Written { result, took: began.elapsed(), log_size: store.log_size() });
+        on_written(WriteResult { result, took: began.elapsed(), log_size: store.log_size() });
     }
 }
 
@@ -161,7 +167,7 @@
     /// Carries out a write.
     ///
     /// # Errors
-    /// As the operation that it names.
+    /// Fails like the operation that the write names.
     pub fn apply(&mut self, write: &Write) -> Result<(), DiskError> {
         match write {
             Write::Log { hard_state, records } => self.write(hard_state.as_deref(), records),
--- a/crates/disk/tests/folder/crash.rs
+++ b/crates/disk/tests/folder/crash.rs
@@ -1,4 +1,4 @@
-//! Crashes, full disks and failing syncs at every step of a store's life.
+//! Tests with crashes, full disks and failing syncs at every operation of a store.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 
 const FOLDER: &str = "/data";
 
-/// What a store must hold: identity, hard state, snapshot, and the records after it.
+/// The expected contents of a store: identity, hard state, snapshot, and the records after it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Content {
     identity: Option<Vec<u8>>,
@@ -28,14 +28,14 @@
 #[derive(Clone, Debug)]
 enum Step {
     Identity,
-    /// Hard state and a run of records.
+    /// The hard state, and the first and last index of the records.
     Write(Option<u8>, u64, u64),
-    /// Index and the first index that is kept.
+    /// The index, and the first index to keep.
     Snapshot(u64, u64),
     Install(u64),
 }
 
-const LIFE: [Step; 10] = [
+const STEPS: [Step; 10] = [
     Step::Identity,
     Step::Write(Some(1), 1, 3),
     Step::Write(None, 4, 6),
@@ -49,13 +49,13 @@
 ];
 
 fn record(index: u64) -> Record {
-    // Some reach over several sectors, and not all bytes are the same.
+    // Some records span several sectors, and their bytes differ from each other.
     let length = if index.is_multiple_of(3) { 1_700 } else { 20 };
     let data = (0..length).map(|at| (at as u64 * 7 + index) as u8 | 1).collect();
     Record { index: LogIndex(index), data }
 }
 
-fn run(store: &mut Store<MemFiles>, step: &Step) -> Result<(), DiskError> {
+fn run_step(store: &mut Store<MemFiles>, step: &Step) -> Result<(), DiskError> {
     match *step {
         Step::Identity => store.set_identity(b"node"),
         Step::Write(hard_state, first, last) => {
@@ -64,17 +64,17 @@
             store.write(hard_state.as_deref(), &records)
         }
         Step::Snapshot(index, keep) => {
-            store.snapshot(LogIndex(index), &image(index), LogIndex(keep))
+            store.snapshot(LogIndex(index), &snapshot_data(index), LogIndex(keep))
         }
-        Step::Install(index) => store.install(LogIndex(index), &image(index)),
+        Step::Install(index) => store.install(LogIndex(index), &snapshot_data(index)),
     }
 }
 
-fn image(index: u64) -> Vec<u8> {
+fn snapshot_data(index: u64) -> Vec<u8> {
     vec![index as u8 | 1; 1_000]
 }
 
-/// Says what a step makes of the content.
+/// Returns the contents after a step.
 fn expect(content: &Content, step: &Step) -> Content {
     let mut next = content.clone();
     match *step {
@@ -85,27 +85,27 @@
             next.records.extend((first..=last).map(record));
         }
         Step::Snapshot(index, _) => {
-            next.snapshot = Some((LogIndex(index), image(index)));
+            next.snapshot = Some((LogIndex(index), snapshot_data(index)));
             next.records.retain(|it| it.index.0 > index);
         }
         Step::Install(index) => {
-            next.snapshot = Some((LogIndex(index), image(index)));
+            next.snapshot = Some((LogIndex(index), snapshot_data(index)));
             next.records.clear();
         }
     }
     next
 }
 
-/// Runs the life until the first failure; returns the content before and after the step that
+/// Runs the steps until the first failure. Returns the contents before and after the step that
 /// failed.
-fn live(files: &MemFiles) -> (Content, Content) {
+fn run_steps(files: &MemFiles) -> (Content, Content) {
     let mut content = Content::default();
     let Ok((mut store, _)) = Store::open_with(files.clone(), Path::new(FOLDER)) else {
         return (content.clone(), content);
     };
-    for step in &LIFE {
+    for step in &STEPS {
         let next = expect(&content, step);
-        if run(&mut store, step).is_err() {
+        if run_step(&mut store, step).is_err() {
             let later = store.write(None, &[record(1)]);
             assert!(matches!(later, Err(DiskError::Poisoned)), "{step:?}: {later:?}");
             return (content, next);
@@ -119,21 +119,21 @@
     Store::open_with(files.clone(), Path::new(FOLDER)).map(|(_, found)| found.into())
 }
 
-// Symptom: after a crash a member has forgotten what it acknowledged, or refuses to start.
-// Sequence: the process or the power fails at any step of writes, snapshots and installs; of what
-// was not synced, nothing, all or some sectors get to the disk.
-// Cause: an answer before the sync, a log dropped before its snapshot is safe, a rename before
-// its file is, or a torn tail taken for damage.
+// Guards against a member that has forgotten what it acknowledged, or refuses to start, after a
+// crash. The process or the power fails at any operation of writes, snapshots and installs; of the
+// unsynced data, nothing, everything or some sectors reach the disk. The store must not acknowledge
+// before the sync, drop the log before its snapshot is safe, rename a file before its sync, or take
+// a torn tail for damage.
 #[test]
 fn nothing_acknowledged_is_lost_in_a_crash_at_any_step() {
     let losses = [Loss::Process, Loss::Power].into_iter().chain((0..24).map(Loss::Torn));
     let losses: Vec<Loss> = losses.collect();
     let whole = MemFiles::default();
-    live(&whole);
+    run_steps(&whole);
     let steps = whole.0.borrow().steps;
     for step in 1..=steps + 1 {
         let files = MemFiles::fail_at(step, Fault::Crash);
-        let (before, after) = live(&files);
+        let (before, after) = run_steps(&files);
         for loss in &losses {
             let found = reopen(&files.after(*loss));
             let found = found.unwrap_or_else(|e| panic!("step {step}, {loss:?}: {e}"));
@@ -142,19 +142,19 @@
     }
 }
 
-// Symptom: a member goes on after its disk refused a write, and loses what it acknowledged then.
-// Sequence: a write is short, the disk is full, or a sync fails; the process restarts and finds
-// the bytes in the page cache; then the power fails.
-// Cause: the store goes on after the failure, or trusts what it reads to be on the disk.
+// Guards against a member that continues after its disk refused a write, and loses what it
+// acknowledged then. A write is short, the disk is full, or a sync fails; the process restarts and
+// finds the bytes in the page cache; then the power fails. The store must stop at the failure, and
+// must not assume that what it reads is on disk.
 #[test]
 fn a_failed_operation_stops_the_store_and_what_a_restart_finds_is_on_the_disk() {
     let whole = MemFiles::default();
-    live(&whole);
+    run_steps(&whole);
     let steps = whole.0.borrow().steps;
     for fault in [Fault::Full, Fault::Fail] {
         for step in 1..=steps {
             let files = MemFiles::fail_at(step, fault);
-            let (before, after) = live(&files);
+            let (before, after) = run_steps(&files);
             let next = files.after(Loss::Process);
             let found = reopen(&next);
             let found = found.unwrap_or_else(|e| panic!("step {step}, {fault:?}: {e}"));
--- a/crates/disk/tests/folder/damage.rs
+++ b/crates/disk/tests/folder/damage.rs
@@ -1,4 +1,5 @@
-//! Damaged and truncated files: recovered or refused, never silently shorter.
+//! Tests of damaged and truncated files: they must be recovered or refused, and no record may be
+//! lost silently.
 
 use std::path::Path;
 
@@ -13,7 +14,8 @@
     Store::open_with(files.clone(), Path::new(FOLDER)).map(|(_, found)| found)
 }
 
-/// A folder with a snapshot and four batches of one record each, and where the batches end.
+/// Returns a folder with a snapshot and four batches of one record each, and the offsets at which
+/// the batches end.
 fn folder() -> (MemFiles, Vec<usize>) {
     let files = MemFiles::default();
     let (mut store, _) = Store::open_with(files.clone(), Path::new(FOLDER)).unwrap();
@@ -32,7 +34,7 @@
     Record { index: LogIndex(index), data: vec![index as u8 | 0x40; 15] }
 }
 
-/// What is known of the acknowledged length.
+/// Whether the mark of the acknowledged length is there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mark {
     Kept,
@@ -47,9 +49,9 @@
     copy
 }
 
-// Symptom: a member votes and answers from a log that lost its acknowledged end.
-// Sequence: the log's last bytes vanish after their sync; the member starts.
-// Cause: a truncated log looks like a torn write, unless something tells how long it was.
+// Guards against a member that votes and answers from a log that lost its acknowledged end. The
+// log's last bytes vanish after their sync, and the member starts. Without a mark of the
+// acknowledged length, a truncated log looks like a torn write.
 #[test]
 fn a_log_truncated_at_any_byte_is_refused_or_the_cut_is_reported() {
     let (files, ends) = folder();
@@ -66,7 +68,10 @@
             (Ok(found), Some(whole)) => {
                 let records: Vec<Record> = (2..2 + whole as u64).map(record).collect();
                 assert_eq!(found.records, records, "{length}");
-                assert_eq!(found.cut.map(|it| it.offset as usize).unwrap_or(length), ends[whole]);
+                assert_eq!(
+                    found.torn_tail.map(|it| it.offset as usize).unwrap_or(length),
+                    ends[whole]
+                );
             }
             (Err(_), None) => {}
             (found, _) => panic!("{length}: {found:?}"),
@@ -74,10 +79,10 @@
     }
 }
 
-// Symptom: a member silently drops records, or takes wrong ones, after a bit rotted.
-// Sequence: one bit of any file flips, in a length, a checksum or the data; the member starts.
-// Cause: a damaged length that swallows the records behind it, a damaged last record that is
-// taken for a torn write, a file without a checksum.
+// Guards against a member that silently drops records, or takes wrong ones, after a bit has flipped
+// in a length, a checksum or the data of any file. A damaged length must not hide the records
+// behind it, a damaged last record must not be taken for a torn write, and every file needs a
+// checksum.
 #[test]
 fn a_flipped_bit_is_refused_and_in_the_mark_loses_nothing() {
     let (files, _) = folder();
@@ -91,7 +96,7 @@
                 let found = open(&copy);
                 let safe = match &found {
                     Err(DiskError::Damaged { .. }) => true,
-                    // The mark only adds to what the log says.
+                    // The mark can only add to what the log proves.
                     Ok(found) => name == "synced" && found.records.len() == 4,
                     Err(_) => false,
                 };
@@ -101,10 +106,10 @@
     }
 }
 
-// Symptom: a member drops acknowledged records as if they were a torn write.
-// Sequence: the power fails, which loses the mark; the disk lost all sectors of one batch, yet has
-// the batches that were written after that one's sync.
-// Cause: missing sectors are taken for a torn write without a look at what follows.
+// Guards against a member that drops acknowledged records as if they were a torn write. A power
+// failure loses the mark, and the disk has lost all sectors of one batch but has the batches that
+// were written after that batch was synced. Missing sectors must not be taken for a torn write
+// without a check of what follows.
 #[test]
 fn a_lost_batch_before_a_later_one_is_refused_and_at_the_end_reported() {
     let (files, ends) = folder();
@@ -115,7 +120,7 @@
         if batch < 3 {
             assert!(matches!(found, Err(DiskError::Damaged { .. })), "{batch}: {found:?}");
         } else {
-            assert_eq!(found.unwrap().cut.unwrap().offset, ends[3] as u64);
+            assert_eq!(found.unwrap().torn_tail.unwrap().offset, ends[3] as u64);
         }
     }
 }
@@ -125,9 +130,8 @@
     says: &'static str,
 }
 
-// Symptom: a member that lost one of its files starts as if it had never had it.
-// Sequence: a file vanishes; the member starts.
-// Cause: each file is read alone and its absence is taken for a new folder.
+// Guards against a member that lost one of its files and starts as if it had never had it. The
+// absence of a single file must not be taken for a new folder.
 #[test]
 fn a_missing_file_is_refused_with_what_to_do() {
     let cases = [
@@ -154,7 +158,7 @@
     let (mut store, _) = Store::open(folder.path()).unwrap();
     assert!(matches!(Store::open(folder.path()), Err(DiskError::Locked(_))));
     store.set_identity(b"node").unwrap();
-    assert!(matches!(store.set_identity(b"other"), Err(DiskError::Identified)));
+    assert!(matches!(store.set_identity(b"other"), Err(DiskError::IdentityExists)));
     store.write(Some(b"term"), &[record(1), record(2)]).unwrap();
     assert!(matches!(store.write(None, &[record(4)]), Err(DiskError::Gap { .. })));
     drop(store);
@@ -162,13 +166,13 @@
     assert_eq!(found.identity.as_deref(), Some(&b"node"[..]));
     assert_eq!(found.hard_state.as_deref(), Some(&b"term"[..]));
     assert_eq!(found.records, [record(1), record(2)]);
-    assert_eq!(found.cut, None);
+    assert_eq!(found.torn_tail, None);
 }
 
 proptest! {
-    // Symptom: a member crashes at start instead of saying what is wrong with its disk.
-    // Sequence: any bytes lie in a file, bare or in a valid frame.
-    // Cause: a length or a record that is believed before it is checked.
+    // Guards against a member that panics at start instead of reporting what is wrong with its
+    // disk. A file holds any bytes, bare or in a valid frame. Lengths and records must be checked
+    // before use.
     #[test]
     fn no_bytes_make_recovery_panic(
         name in prop::sample::select(vec!["log-", "snapshot-", "identity", "synced"]),
@@ -178,8 +182,8 @@
     ) {
         let (files, _) = folder();
         files.edit(name, |data| {
-            let place = disk::frame::Place { generation: if name == "log-" { 2 } else { 0 }, number: 0 };
-            let tail = if framed { disk::frame::encode(place, &bytes) } else { bytes.clone() };
+            let id = disk::frame::FrameId { generation: if name == "log-" { 2 } else { 0 }, number: 0 };
+            let tail = if framed { disk::frame::encode(id, &bytes) } else { bytes.clone() };
             data.truncate(if framed { 0 } else { keep });
             data.extend_from_slice(&tail);
         });
--- a/crates/disk/tests/folder/main.rs
+++ b/crates/disk/tests/folder/main.rs
@@ -1,4 +1,4 @@
-//! The data folder under crashes, failing operations and damaged files.
+//! Tests of the data folder with crashes, failing operations and damaged files.
 
 mod crash;
 mod damage;
--- a/crates/disk/tests/folder/support.rs
+++ b/crates/disk/tests/folder/support.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that can fail at any step and lose what was not synced.
+//! A disk in memory that can fail at any operation and lose what was not synced.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,25 +8,25 @@
 
 use disk::Files;
 
-const SECTOR: usize = 512;
+const SECTOR_BYTES: usize = 512;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// The process dies: nothing after this step happens.
+    /// The process crashes: this operation and all later ones fail.
     Crash,
-    /// A write takes half, and the next says that the disk is full.
+    /// A write writes half of its data, and the next one fails because the disk is full.
     Full,
-    /// An operation fails; a sync that fails loses the bytes for good.
+    /// The operation fails. After a failed sync, the unsynced bytes never reach the disk.
     Fail,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Loss {
-    /// Only the process died.
+    /// Only the process ended.
     Process,
-    /// Only what was synced is left.
+    /// Only synced data is left.
     Power,
-    /// Of what was not synced, some sectors are left.
+    /// Of the unsynced data, some sectors are left.
     Torn(u64),
 }
 
@@ -34,7 +34,7 @@
 pub(crate) struct Inode {
     pub(crate) live: Vec<u8>,
     synced: Vec<u8>,
-    /// A sync failed: later ones succeed without effect.
+    /// Whether a sync failed; later ones succeed without effect.
     dropped: bool,
 }
 
@@ -75,7 +75,7 @@
         Self(Rc::new(RefCell::new(state)))
     }
 
-    /// Lets `change` at the bytes of the file whose name starts with `prefix`.
+    /// Changes the bytes of the file whose name starts with `prefix`.
     pub(crate) fn edit(&self, prefix: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let mut state = self.0.borrow_mut();
         let wanted = |path: &Path| path.file_name().unwrap().to_string_lossy().starts_with(prefix);
@@ -94,7 +94,7 @@
         Ok(due)
     }
 
-    /// Counts a step that either happens or fails without effect.
+    /// Counts an operation that either succeeds or fails without effect.
     fn whole_step(&self) -> io::Result<()> {
         match self.step()? {
             Some(_) => Err(io::Error::other("failed")),
@@ -119,8 +119,8 @@
     let mut old = inode.synced.clone();
     old.resize(inode.live.len(), 0);
     let mut left = inode.live.clone();
-    for (sector, at) in (0..left.len()).step_by(SECTOR).enumerate() {
-        let end = left.len().min(at + SECTOR);
+    for (sector, at) in (0..left.len()).step_by(SECTOR_BYTES).enumerate() {
+        let end = left.len().min(at + SECTOR_BYTES);
         if mix(seed, number * 1_000 + sector).is_multiple_of(2) {
             left[at..end].copy_from_slice(&old[at..end]);
         }
--- a/crates/disk/tests/writer.rs
+++ b/crates/disk/tests/writer.rs
@@ -1,16 +1,16 @@
-//! Writes on a thread of their own.
+//! Tests of writes on a separate thread.
 
 use std::path::Path;
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-use disk::{DiskError, Record, Store, Write, Writer, Written};
+use disk::{DiskError, Record, Store, Write, WriteResult, Writer};
 use types::LogIndex;
 
 /// Far longer than a write takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-fn open(folder: &Path) -> (Writer, Receiver<Written>) {
+fn open(folder: &Path) -> (Writer, Receiver<WriteResult>) {
     let (mut store, _) = Store::open(folder).expect("it opens");
     store.set_identity(b"one").expect("it is written");
     let (done, written) = channel();
@@ -25,7 +25,8 @@
     Write::Log { hard_state: None, records: (from..=to).map(record).collect() }
 }
 
-/// Guards against writes that are lost where the process ends in order, or carried out in another order.
+/// Guards against writes that are lost when the process stops regularly, or carried out in another
+/// order.
 #[test]
 fn what_was_ordered_is_written_before_the_end() {
     let folder = tempfile::tempdir().expect("a temporary folder");
@@ -33,10 +34,10 @@
     for from in [1, 4, 7] {
         writer.submit(log(from, from + 2)).expect("it is ordered");
     }
-    // It waits for the writes before it.
+    // The call waits for the writes before it.
     let size = writer.call(|store| store.log_size()).expect("it is called");
     drop(writer);
-    let results: Vec<Written> = written.iter().collect();
+    let results: Vec<WriteResult> = written.iter().collect();
     assert!(results.iter().all(|it| it.result.is_ok()), "{results:?}");
     assert_eq!(results.last().map(|it| it.log_size), Some(size));
     let (_, found) = Store::open(folder.path()).expect("it opens");
@@ -44,19 +45,19 @@
     assert_eq!(indices, (1..=9).collect::<Vec<u64>>());
 }
 
-/// Guards against a member that goes on after its disk failed: later writes would follow a gap.
+/// Guards against a member that continues after its disk failed: later writes would follow a gap.
 #[test]
 fn nothing_is_written_after_a_failure() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let (writer, written) = open(folder.path());
     writer.submit(log(1, 3)).expect("it is ordered");
-    assert!(written.recv_timeout(PATIENCE).expect("it ends").result.is_ok());
+    assert!(written.recv_timeout(TIMEOUT).expect("it ends").result.is_ok());
     std::fs::remove_dir_all(folder.path()).expect("the folder is removed");
     let snapshot = Write::Snapshot { index: LogIndex(2), data: vec![1], keep: LogIndex(3) };
     writer.submit(snapshot).expect("it is ordered");
     writer.submit(log(4, 6)).expect("it is ordered");
-    let first = written.recv_timeout(PATIENCE).expect("it ends").result;
+    let first = written.recv_timeout(TIMEOUT).expect("it ends").result;
     assert!(matches!(first, Err(DiskError::Io { .. })), "{first:?}");
-    let second = written.recv_timeout(PATIENCE).expect("it ends").result;
+    let second = written.recv_timeout(TIMEOUT).expect("it ends").result;
     assert!(matches!(second, Err(DiskError::Poisoned)), "{second:?}");
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,12 +1,12 @@
-//! A consensus node's data folder: read once, then written beside all else.
+//! The data folder of a consensus node. It is read once and then written while the node runs.
 //!
-//! [`restore`] makes a node's beginning of what a folder held. A [`Journal`] then writes what the node
-//! hands out, on a thread of its own, and keeps the messages that wait for it.
+//! [`restore`] decodes the initial state of a node from the contents of a folder. A [`Journal`]
+//! then writes the node's output on a separate thread and keeps the messages that wait for it.
 
 mod codec;
 mod journal;
 mod restore;
 
 pub use codec::{decode, encode};
-pub use journal::{Journal, Saved};
+pub use journal::{Journal, SavedWrite};
 pub use restore::restore;
--- a/crates/replica/src/restore.rs
+++ b/crates/replica/src/restore.rs
@@ -1,4 +1,4 @@
-//! What a data folder held, as a node takes it.
+//! Restoring a node from the contents of its data folder.
 
 use consensus::Restored;
 use disk::Recovered;
@@ -6,14 +6,15 @@
 
 use crate::codec::decode;
 
-/// Decodes hard state, snapshot and log entries; tells of a torn write that was cut off.
+/// Decodes hard state, snapshot and log entries. Logs a warning about a torn write that was cut
+/// off.
 ///
 /// # Errors
-/// Where a record is not what it should be.
+/// Fails if a record can't be decoded.
 pub fn restore(found: &Recovered) -> StepResult<Restored> {
-    if let Some(cut) = &found.cut {
-        let file = cut.file.display();
-        log::warn!(file:% = file, offset = cut.offset, bytes = cut.bytes;
+    if let Some(torn_tail) = &found.torn_tail {
+        let file = torn_tail.file.display();
+        log::warn!(file:% = file, offset = torn_tail.offset, bytes = torn_tail.bytes;
             "cut a torn write off the log; it was never acknowledged");
     }
     let mut restored = Restored::default();
--- a/crates/replica/tests/journal.rs
+++ b/crates/replica/tests/journal.rs
@@ -1,4 +1,4 @@
-//! What waits for the disk, and what a restart finds.
+//! Tests of the messages and snapshots that wait for the disk, and of a restart.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,11 +9,11 @@
     Body, Config, Entry, Membership, Message, Node, Payload, Ready, Restored, Snapshot,
 };
 use disk::Store;
-use replica::{Journal, Saved};
+use replica::{Journal, SavedWrite};
 use types::{LogIndex, NodeId, Term};
 
 /// Far longer than a write takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn config() -> Config {
     Config {
@@ -31,13 +31,13 @@
     }
 }
 
-fn beginning() -> Snapshot {
+fn first_snapshot() -> Snapshot {
     let voters = (1..=3).map(|id| (NodeId(id), Vec::new())).collect();
     let membership = Membership { voters, learners: BTreeMap::new() };
     Snapshot { index: LogIndex(1), term: Term(1), membership, data: Vec::new() }
 }
 
-/// A follower's folder, node and journal.
+/// The folder, node and journal of a follower.
 struct Follower {
     node: Node,
     journal: Journal,
@@ -50,9 +50,9 @@
         let mut restored = replica::restore(&found).expect("it decodes");
         if found.identity.is_none() {
             store.set_identity(b"1").expect("it is written");
-            let data = replica::encode(&beginning()).expect("it encodes");
+            let data = replica::encode(&first_snapshot()).expect("it encodes");
             store.install(LogIndex(1), &data).expect("it is written");
-            restored = Restored { snapshot: Some(beginning()), ..Restored::default() };
+            restored = Restored { snapshot: Some(first_snapshot()), ..Restored::default() };
         }
         let (wake, woken) = channel();
         let journal = Journal::spawn(store, move || {
@@ -62,7 +62,8 @@
         Self { node: Node::new(config(), restored), journal, woken }
     }
 
-    /// Takes so many entries from the leader, all of them committed by the others.
+    /// Handles an `Append` with `count` entries from the leader, all of them committed by the
+    /// others.
     fn append(&mut self, count: u64) -> Ready {
         let last = self.node.status().last;
         let entry = |at| Entry {
@@ -81,13 +82,13 @@
         self.node.ready()
     }
 
-    fn wait_saved(&mut self) -> Saved {
-        self.woken.recv_timeout(PATIENCE).expect("a write ends");
+    fn wait_saved(&mut self) -> SavedWrite {
+        self.woken.recv_timeout(TIMEOUT).expect("a write ends");
         self.journal.saved(&mut self.node).expect("it is written").expect("a write has ended")
     }
 }
 
-/// Guards against an acknowledgement that leaves before its entries are on the disk.
+/// Guards against an acknowledgement that is sent before its entries are on disk.
 #[test]
 fn acknowledgements_wait_and_commits_do_not() {
     let folder = tempfile::tempdir().expect("a temporary folder");
@@ -103,7 +104,8 @@
     assert_eq!(follower.node.synced_index(), LogIndex(4));
 }
 
-/// Guards against a snapshot of a state that is ahead of the log on the disk: a restart would find a gap.
+/// Guards against a snapshot of a state that is ahead of the log on disk: a restart would find a
+/// gap.
 #[test]
 fn a_snapshot_waits_for_the_log_that_it_covers() {
     let folder = tempfile::tempdir().expect("a temporary folder");
