--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -136,9 +136,7 @@
                 }
                 Ok(state)
             }
-            Some((format, _)) => {
-                Err(fault(format!("this release can't read snapshot format {format}")))
-            }
+            Some((format, _)) => Err(fault(format!("unknown snapshot format {format}"))),
             None => Err(fault("the snapshot is empty".to_owned())),
         }
     }
