--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -109,10 +109,10 @@
     /// Answers a vote request of the current term.
     ///
     /// A node answers whether or not its own log lists it as a voter. A voter that was just added
-    /// may lack the entry that adds it, and the candidate may need its vote: after {A} grows to {A,
-    /// B}, A could never lead again if B refused. This is safe because the candidate counts only
-    /// voters of its own newest membership, and because one id never votes twice in a term: the
-    /// vote is synced before the reply is sent, and an emptied folder gets a new id.
+    /// may lack the entry that adds it, and the candidate may need its vote: after {A} grows to
+    /// {A, B}, A could never lead again if B refused. This is safe because the candidate counts
+    /// only voters of its own newest membership, and because one id never votes twice in a term:
+    /// the vote is synced before the reply is sent, and an emptied folder gets a new id.
     pub(crate) fn on_vote(&mut self, from: NodeId, end: LogEnd) {
         let free = match self.vote {
             Some(vote) => vote == from,
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -101,7 +101,7 @@
     pub fn tick(&mut self) {
         self.sync.tick();
         // While a vote is being written it can't be given to another candidate, and the node must
-        // not campaign anew before that vote is sent: on slow disks no election would ever end.
+        // not campaign again before that vote is sent: on slow disks no election would ever end.
         if self.role != Role::Leader && !self.is_term_durable() {
             return;
         }
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -105,8 +105,8 @@
     /// those entries are sent the snapshot. A snapshot is ignored if it is older than the current
     /// one, or beyond what was handed out to apply or what is on this node's disk.
     pub fn compact(&mut self, snapshot: Snapshot) {
-        let is_local = snapshot.index <= self.applied.min(self.log.synced());
-        if snapshot.index > self.log.base() && is_local {
+        let is_stored = snapshot.index <= self.applied.min(self.log.synced());
+        if snapshot.index > self.log.base() && is_stored {
             self.log.compact(snapshot);
         }
     }
--- a/crates/consensus/tests/rules/disks.rs
+++ b/crates/consensus/tests/rules/disks.rs
@@ -49,9 +49,9 @@
     let active = |cluster: &Cluster| cluster.nodes[&1].status().peers[&NodeId(2)].active;
     let stall = config(2).stall_ticks;
     cluster.tick(stall - ELECTION_TICKS);
-    assert!(active(&cluster), "it counts as lost too soon");
+    assert!(active(&cluster), "the follower counts as inactive too soon");
     cluster.tick(4 * ELECTION_TICKS);
-    assert!(!active(&cluster), "it still counts as well");
+    assert!(!active(&cluster), "the stalled follower still counts as active");
 }
 
 /// Guards against counting entries for a follower that has not written them.
--- a/crates/consensus/tests/rules/elections.rs
+++ b/crates/consensus/tests/rules/elections.rs
@@ -34,8 +34,8 @@
     }
     let cases = [
         Case { name: "cut off", cuts: &[(1, 2), (2, 1), (1, 3), (3, 1)], leads: false },
-        Case { name: "hears nobody", cuts: &[(2, 1), (3, 1)], leads: false },
-        Case { name: "hears one", cuts: &[(2, 1), (1, 2)], leads: true },
+        Case { name: "gets no replies", cuts: &[(2, 1), (3, 1)], leads: false },
+        Case { name: "gets one reply", cuts: &[(2, 1), (1, 2)], leads: true },
     ];
     for Case { name, cuts, leads } in cases {
         let mut cluster = Cluster::new(3);
@@ -112,7 +112,7 @@
 
 #[test]
 fn transfer_moves_leadership_or_ends() {
-    for (name, alive) in [("heir alive", true), ("heir dead", false)] {
+    for (name, alive) in [("target alive", true), ("target dead", false)] {
         let mut cluster = Cluster::new(3);
         if !alive {
             cluster.isolate(2);
--- a/crates/consensus/tests/schedules/sim/host.rs
+++ b/crates/consensus/tests/schedules/sim/host.rs
@@ -157,7 +157,7 @@
             self.register = Register::restore(snapshot);
         }
         if ready.writes() {
-            assert!(self.pending.is_none(), "two writes under way");
+            assert!(self.pending.is_none(), "two writes in flight");
             let rest = Ready {
                 early: std::mem::take(&mut ready.early),
                 committed: std::mem::take(&mut ready.committed),
--- a/crates/disk/src/store.rs
+++ b/crates/disk/src/store.rs
@@ -56,7 +56,7 @@
         remove_stale(&files, folder, 0, None)?;
         // A process that stopped after a failed sync leaves bytes in the page cache that can be
         // read but are not on disk. So nothing that was read is assumed to be on disk: the log is
-        // written anew and synced before anyone depends on it.
+        // rewritten and synced before anything depends on it.
         let generation = found.generation + 1;
         let (log, log_length) = write_recovered_log(&files, folder, generation, &found)?;
         let mark_path = folder.join(SYNCED_FILE);
--- a/crates/disk/tests/folder/support.rs
+++ b/crates/disk/tests/folder/support.rs
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Inode {
-    pub(crate) live: Vec<u8>,
+    pub(crate) cached: Vec<u8>,
     synced: Vec<u8>,
     /// Whether a sync failed; later ones succeed without effect.
     dropped: bool,
@@ -67,8 +67,8 @@
                 state.names = state.durable.clone();
             }
             for (number, inode) in state.inodes.iter_mut().enumerate() {
-                inode.live = survive(inode, loss, number);
-                inode.synced = inode.live.clone();
+                inode.cached = survive(inode, loss, number);
+                inode.synced = inode.cached.clone();
             }
             state.durable = state.names.clone();
         }
@@ -80,7 +80,7 @@
         let mut state = self.0.borrow_mut();
         let wanted = |path: &Path| path.file_name().unwrap().to_string_lossy().starts_with(prefix);
         let inode = *state.names.iter().find(|(path, _)| wanted(path)).unwrap().1;
-        change(&mut state.inodes[inode].live);
+        change(&mut state.inodes[inode].cached);
     }
 
     fn step(&self) -> io::Result<Option<Fault>> {
@@ -117,8 +117,8 @@
         return inode.synced.clone();
     }
     let mut old = inode.synced.clone();
-    old.resize(inode.live.len(), 0);
-    let mut left = inode.live.clone();
+    old.resize(inode.cached.len(), 0);
+    let mut left = inode.cached.clone();
     for (sector, at) in (0..left.len()).step_by(SECTOR_BYTES).enumerate() {
         let end = left.len().min(at + SECTOR_BYTES);
         if mix(seed, number * 1_000 + sector).is_multiple_of(2) {
@@ -143,7 +143,7 @@
 
     fn read(&self, path: &Path) -> io::Result<Option<Vec<u8>>> {
         let state = self.0.borrow();
-        Ok(state.names.get(path).map(|inode| state.inodes[*inode].live.clone()))
+        Ok(state.names.get(path).map(|inode| state.inodes[*inode].cached.clone()))
     }
 
     fn open(&self, path: &Path) -> io::Result<usize> {
@@ -169,16 +169,16 @@
             Some(_) => return Err(io::ErrorKind::StorageFull.into()),
             None => data.len(),
         };
-        let live = &mut state.inodes[*file].live;
+        let cached = &mut state.inodes[*file].cached;
         let end = at as usize + taken;
-        live.resize(live.len().max(end), 0);
-        live[at as usize..end].copy_from_slice(&data[..taken]);
+        cached.resize(cached.len().max(end), 0);
+        cached[at as usize..end].copy_from_slice(&data[..taken]);
         Ok(taken)
     }
 
     fn resize(&self, file: &usize, length: u64) -> io::Result<()> {
         self.whole_step()?;
-        self.0.borrow_mut().inodes[*file].live.resize(length as usize, 0);
+        self.0.borrow_mut().inodes[*file].cached.resize(length as usize, 0);
         Ok(())
     }
 
@@ -190,7 +190,7 @@
             return Err(io::Error::other("sync failed"));
         }
         if !inode.dropped {
-            inode.synced = inode.live.clone();
+            inode.synced = inode.cached.clone();
         }
         Ok(())
     }
--- a/crates/replica/tests/journal.rs
+++ b/crates/replica/tests/journal.rs
@@ -46,19 +46,19 @@
 
 impl Follower {
     fn open(folder: &Path) -> Self {
-        let (mut store, found) = Store::open(folder).expect("it opens");
-        let mut restored = replica::restore(&found).expect("it decodes");
+        let (mut store, found) = Store::open(folder).expect("the folder opens");
+        let mut restored = replica::restore(&found).expect("the records decode");
         if found.identity.is_none() {
-            store.set_identity(b"1").expect("it is written");
-            let data = replica::encode(&first_snapshot()).expect("it encodes");
-            store.install(LogIndex(1), &data).expect("it is written");
+            store.set_identity(b"1").expect("the write succeeds");
+            let data = replica::encode(&first_snapshot()).expect("the value encodes");
+            store.install(LogIndex(1), &data).expect("the write succeeds");
             restored = Restored { snapshot: Some(first_snapshot()), ..Restored::default() };
         }
         let (wake, woken) = channel();
         let journal = Journal::spawn(store, move || {
             let _ = wake.send(());
         });
-        let journal = journal.expect("it starts");
+        let journal = journal.expect("the thread starts");
         Self { node: Node::new(config(), restored), journal, woken }
     }
 
@@ -73,7 +73,7 @@
         };
         let body = Body::Append {
             prior: last,
-            prior_term: self.node.term_at(last).expect("it holds it"),
+            prior_term: self.node.term_at(last).expect("the log holds the entry"),
             entries: (1..=count).map(entry).collect(),
             commit: LogIndex(last.0 + count),
             round: 0,
@@ -84,7 +84,7 @@
 
     fn wait_saved(&mut self) -> SavedWrite {
         self.woken.recv_timeout(TIMEOUT).expect("a write ends");
-        self.journal.saved(&mut self.node).expect("it is written").expect("a write has ended")
+        self.journal.saved(&mut self.node).expect("the write succeeds").expect("a write has ended")
     }
 }
 
@@ -95,7 +95,7 @@
     let mut follower = Follower::open(folder.path());
     let mut ready = follower.append(3);
     assert_eq!(ready.committed.len(), 3);
-    let at_once = follower.journal.write(&mut ready).expect("it is ordered");
+    let at_once = follower.journal.write(&mut ready).expect("the write is submitted");
     assert!(at_once.is_empty(), "{at_once:?}");
     assert_eq!(follower.node.synced_index(), LogIndex(1));
     let saved = follower.wait_saved();
@@ -111,23 +111,23 @@
     let folder = tempfile::tempdir().expect("a temporary folder");
     let mut follower = Follower::open(folder.path());
     let mut ready = follower.append(3);
-    let head = follower.node.snapshot_head(LogIndex(4)).expect("it is applied");
+    let head = follower.node.snapshot_head(LogIndex(4)).expect("the entry is applied");
     let snapshot = Snapshot { data: b"state".to_vec(), ..head };
-    follower.journal.snapshot(&follower.node, snapshot.clone()).expect("it is taken");
-    follower.journal.write(&mut ready).expect("it is ordered");
+    follower.journal.snapshot(&follower.node, snapshot.clone()).expect("the snapshot is accepted");
+    follower.journal.write(&mut ready).expect("the write is submitted");
     let mut later = follower.append(2);
     assert!(!later.writes(), "one write at a time");
     assert!(!follower.wait_saved().compacted);
     assert!(follower.journal.compacts());
     let mut rest = follower.node.ready();
-    follower.journal.write(&mut rest).expect("it is ordered");
-    follower.journal.write(&mut later).expect("it is ordered");
+    follower.journal.write(&mut rest).expect("the write is submitted");
+    follower.journal.write(&mut later).expect("the write is submitted");
     assert!(follower.wait_saved().compacted);
     assert!(!follower.wait_saved().compacted);
     drop(follower);
 
-    let (_, found) = Store::open(folder.path()).expect("it opens");
-    let restored = replica::restore(&found).expect("it decodes");
+    let (_, found) = Store::open(folder.path()).expect("the folder opens");
+    let restored = replica::restore(&found).expect("the records decode");
     assert_eq!(restored.snapshot, Some(snapshot));
     let indices: Vec<u64> = restored.entries.iter().map(|it| it.index.0).collect();
     assert_eq!(indices, [5, 6]);
--- a/crates/state/tests/commands/claims.rs
+++ b/crates/state/tests/commands/claims.rs
@@ -98,7 +98,7 @@
     let (a, b, k) = (ticket("a", 1, 10), ticket("b", 1, 20), UNDATED);
     check(vec![
         Case {
-            name: "a new life",
+            name: "a new incarnation",
             steps: vec![
                 (claim(k, 1, a.clone()), granted()),
                 (enter("a", 2), Reply::Done),
--- a/crates/state/tests/commands/replicas.rs
+++ b/crates/state/tests/commands/replicas.rs
@@ -13,10 +13,12 @@
     let key = prop::sample::select(vec![UNDATED.to_owned(), dated(1_500), dated(4_000)]);
     let ticket = (vm.clone(), 1_u64..4, 0_u64..3).prop_map(|(vm, owner, it)| ticket(vm, owner, it));
     let claims = (key.clone(), 0_u8..2, ticket.clone()).prop_map(|(k, p, t)| claim(&k, p, t));
-    let ends = (key.clone(), ticket.clone(), "[a-z]{1,9}").prop_map(|(k, t, b)| finish(&k, t, &b));
-    let frees = (key, ticket).prop_map(|(k, t)| release(&k, t));
-    let lives = (vm, 1_u64..4, prop::bool::weighted(0.3));
-    let lives = lives.prop_map(|(vm, it, gone)| if gone { lost(vm, it) } else { enter(vm, it) });
+    let finishes =
+        (key.clone(), ticket.clone(), "[a-z]{1,9}").prop_map(|(k, t, b)| finish(&k, t, &b));
+    let releases = (key, ticket).prop_map(|(k, t)| release(&k, t));
+    let sessions = (vm, 1_u64..4, prop::bool::weighted(0.3));
+    let sessions =
+        sessions.prop_map(|(vm, it, gone)| if gone { lost(vm, it) } else { enter(vm, it) });
     let changes = (0_u128..12, 0_u64..5, 0_u8..2)
         .prop_map(|(id, base, text)| change(id, base, "ana", &format!("text {text}")));
     let orders = Just(Command::Order {
@@ -26,9 +28,9 @@
     });
     prop_oneof![
         6 => claims,
-        2 => ends,
-        2 => frees,
-        3 => lives,
+        2 => finishes,
+        2 => releases,
+        3 => sessions,
         2 => changes,
         1 => orders,
         1 => (1_000_u64..9_000).prop_map(expire),
