--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -37,7 +37,7 @@
     /// sent, alone.
     pub max_bytes: usize,
     /// The size of one part of a snapshot, in bytes.
-    pub snapshot_part: usize,
+    pub part_bytes: usize,
     /// The seed of the election timeouts. It is mixed with the id, so nodes may share a seed.
     pub seed: u64,
 }
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -46,7 +46,7 @@
         let term = Term(self.term.0 + 1);
         let body = Body::PreVote { index: end.index, term: end.term };
         for to in self.other_voters() {
-            self.send_early_in(term, to, body.clone());
+            self.send_immediate_in(term, to, body.clone());
         }
     }
 
@@ -98,7 +98,7 @@
         let granted =
             newer && !self.has_recent_leader() && self.log.is_up_to_date(end.index, end.term);
         let term = if granted { asked } else { self.term };
-        self.send_early_in(term, from, Body::PreVoteReply { granted });
+        self.send_immediate_in(term, from, Body::PreVoteReply { granted });
     }
 
     /// Returns whether a vote request with a newer term must be ignored without adopting its term.
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -90,7 +90,7 @@
         // Without this check, a leader could change a membership while another change by an older
         // leader is not committed. The two memberships would differ by two voters, and both could
         // find a majority. This is the known error of single-server changes as first published.
-        if !self.is_settled() {
+        if !self.has_committed_in_term() {
             return Err(ChangeError::NotReady);
         }
         let added = self.membership().check_next(&membership).map_err(ChangeError::Invalid)?;
@@ -138,7 +138,7 @@
     }
 
     /// Returns whether this node leads and an entry of its own term is committed.
-    pub(crate) fn is_settled(&self) -> bool {
+    pub(crate) fn has_committed_in_term(&self) -> bool {
         self.role == Role::Leader && self.log.term(self.commit) == Some(self.term)
     }
 
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -177,7 +177,7 @@
     /// Entries to write. They replace the log from the first of their indexes on.
     pub entries: Vec<Entry>,
     /// Messages that depend on no pending write; they may be sent at once.
-    pub early: Vec<Message>,
+    pub immediate: Vec<Message>,
     /// Messages that may be sent once the writes are synced.
     pub messages: Vec<Message>,
     /// Committed entries to apply, in order. A quorum has them on disk; this node may not have them
@@ -186,12 +186,12 @@
     /// Confirmed reads, as id and index. Each may be answered once its index is applied.
     pub reads: Vec<(u64, LogIndex)>,
     /// The ids of reads that failed because leadership was lost.
-    pub lost_reads: Vec<u64>,
+    pub failed_reads: Vec<u64>,
 }
 
 impl Ready {
     /// Returns whether there is anything to write.
-    pub fn writes(&self) -> bool {
+    pub fn has_writes(&self) -> bool {
         self.hard_state.is_some() || self.snapshot.is_some() || !self.entries.is_empty()
     }
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -52,7 +52,7 @@
     /// Messages that must wait for the writes before them.
     pub(crate) outbox: Vec<Message>,
     /// Messages that may be sent at once.
-    pub(crate) early: Vec<Message>,
+    pub(crate) immediate: Vec<Message>,
     /// The hard state that was handed to the driver last.
     pub(crate) written_state: HardState,
     pub(crate) sync: DiskSync,
@@ -88,7 +88,7 @@
             partial: None,
             new_snapshot: None,
             outbox: Vec::new(),
-            early: Vec::new(),
+            immediate: Vec::new(),
             written_state: hard_state,
             sync: DiskSync::new(&hard_state),
             lag: DiskLag::default(),
@@ -155,13 +155,13 @@
     }
 
     /// Queues a message that depends on no pending write, to be sent at once.
-    pub(crate) fn send_early(&mut self, to: NodeId, body: Body) {
-        self.send_early_in(self.term, to, body);
+    pub(crate) fn send_immediate(&mut self, to: NodeId, body: Body) {
+        self.send_immediate_in(self.term, to, body);
     }
 
     /// Queues a message with the given term, to be sent at once.
-    pub(crate) fn send_early_in(&mut self, term: Term, to: NodeId, body: Body) {
-        self.early.push(Message { from: self.config.id, to, term, body });
+    pub(crate) fn send_immediate_in(&mut self, term: Term, to: NodeId, body: Body) {
+        self.immediate.push(Message { from: self.config.id, to, term, body });
     }
 
     /// Queues a leader's message. It waits while the current term is not on disk, which happens
@@ -169,7 +169,7 @@
     /// written in it.
     pub(crate) fn send_as_leader(&mut self, to: NodeId, body: Body) {
         if self.is_term_durable() {
-            self.send_early(to, body);
+            self.send_immediate(to, body);
         } else {
             self.send(to, body);
         }
--- a/crates/consensus/src/reads.rs
+++ b/crates/consensus/src/reads.rs
@@ -25,7 +25,7 @@
     waiting: Vec<u64>,
     round: Option<Round>,
     confirmed: Vec<(u64, LogIndex)>,
-    lost: Vec<u64>,
+    failed: Vec<u64>,
 }
 
 impl Reads {
@@ -41,16 +41,16 @@
 
     /// Returns whether there are results to hand out.
     pub(crate) fn has_answers(&self) -> bool {
-        !self.confirmed.is_empty() || !self.lost.is_empty()
+        !self.confirmed.is_empty() || !self.failed.is_empty()
     }
 
     /// Fails all reads, because leadership is lost.
     pub(crate) fn fail_all(&mut self) {
         if let Some(round) = self.round.take() {
-            self.lost.extend(round.ids);
+            self.failed.extend(round.ids);
         }
-        self.lost.append(&mut self.waiting);
-        self.lost.extend(self.confirmed.drain(..).map(|(id, _)| id));
+        self.failed.append(&mut self.waiting);
+        self.failed.extend(self.confirmed.drain(..).map(|(id, _)| id));
     }
 
     /// Removes and returns the confirmed reads.
@@ -59,14 +59,14 @@
     }
 
     /// Removes and returns the ids of the failed reads.
-    pub(crate) fn take_lost(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.lost)
+    pub(crate) fn take_failed(&mut self) -> Vec<u64> {
+        std::mem::take(&mut self.failed)
     }
 }
 
 impl Node {
     /// Requests an index at which a read may be answered. The result is in `Ready::reads` or
-    /// `Ready::lost_reads`, under `id`. All waiting reads share one round.
+    /// `Ready::failed_reads`, under `id`. All waiting reads share one round.
     ///
     /// # Errors
     ///
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -14,9 +14,9 @@
             self.replicate();
         }
         let mut ready = Ready {
-            early: std::mem::take(&mut self.early),
+            immediate: std::mem::take(&mut self.immediate),
             reads: self.reads.take_confirmed(),
-            lost_reads: self.reads.take_lost(),
+            failed_reads: self.reads.take_failed(),
             ..Ready::default()
         };
         if !self.sync.is_writing() {
@@ -37,7 +37,7 @@
         ready.hard_state =
             self.take_hard_state(ready.snapshot.is_some() || !ready.entries.is_empty());
         ready.messages = std::mem::take(&mut self.outbox);
-        if ready.writes() {
+        if ready.has_writes() {
             self.sync.begin();
         }
     }
@@ -81,7 +81,7 @@
 
     /// Returns whether [`Node::ready`] would return any work.
     pub fn has_work(&self) -> bool {
-        !self.early.is_empty()
+        !self.immediate.is_empty()
             || self.new_snapshot.is_none() && self.applied < self.commit
             || self.reads.has_answers()
             || self.can_start_round()
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -155,7 +155,7 @@
             Ok(index) if is_heartbeat => self.answer_heartbeat(from, index, round),
             Ok(index) => self.send(from, Body::AppendReply { accepted: true, index, round }),
             Err(index) => {
-                self.send_early(from, Body::AppendReply { accepted: false, index, round })
+                self.send_immediate(from, Body::AppendReply { accepted: false, index, round })
             }
         }
     }
@@ -172,7 +172,7 @@
         }
         let index = (*prior).min(self.log.synced());
         let body = Body::AppendReply { accepted: true, index, round: *round };
-        self.early.push(Message { from: self.config.id, to: from, term, body });
+        self.immediate.push(Message { from: self.config.id, to: from, term, body });
         true
     }
 
@@ -184,7 +184,7 @@
             return;
         }
         let index = index.min(self.log.synced());
-        self.send_early(from, Body::AppendReply { accepted: true, index, round });
+        self.send_immediate(from, Body::AppendReply { accepted: true, index, round });
     }
 
     /// Stores the entries of an `Append` and returns the last index that matches.
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -51,7 +51,7 @@
         let Some(peer) = self.peers.get(&to) else { return };
         let Mode::Snapshot(sending) = &peer.mode else { return };
         let snapshot = &sending.snapshot;
-        let size = self.config.snapshot_part.max(1);
+        let size = self.config.part_bytes.max(1);
         let start = snapshot.data.len().min(sending.offset as usize);
         let end = snapshot.data.len().min(start + size);
         let body = Body::SnapshotPart {
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -29,7 +29,7 @@
     /// Whether the node leads and an entry of its own term is committed; only then may it change
     /// the membership. Until then it confirms reads only if its whole log was known to be
     /// committed.
-    pub settled: bool,
+    pub term_committed: bool,
     /// Whether a transfer of leadership is in progress.
     pub transferring: bool,
     /// The peers, by id; empty unless the node leads.
@@ -60,7 +60,7 @@
             applied: self.applied,
             first: self.log.first(),
             last: self.log.last(),
-            settled: self.is_settled(),
+            term_committed: self.has_committed_in_term(),
             transferring: self.transfer.is_some(),
             peers: peers.collect(),
         }
--- a/crates/consensus/tests/rules/cluster.rs
+++ b/crates/consensus/tests/rules/cluster.rs
@@ -21,7 +21,7 @@
         transfer_ticks: 3 * ELECTION_TICKS,
         max_entries: 16,
         max_bytes: 4096,
-        snapshot_part: 4,
+        part_bytes: 4,
         seed: 1,
     }
 }
@@ -145,8 +145,8 @@
             }
             self.applied.entry(id).or_default().extend(ready.committed);
             self.reads.extend(ready.reads.iter().map(|(read, _)| read));
-            self.lost.extend(ready.lost_reads);
-            for message in ready.early.into_iter().chain(ready.messages) {
+            self.lost.extend(ready.failed_reads);
+            for message in ready.immediate.into_iter().chain(ready.messages) {
                 self.sent.push(message.clone());
                 let (from, to) = (message.from.0, message.to.0);
                 if let Some(node) =
--- a/crates/consensus/tests/schedules/sim/host.rs
+++ b/crates/consensus/tests/schedules/sim/host.rs
@@ -95,7 +95,7 @@
         transfer_ticks: 20,
         max_entries: 4,
         max_bytes: 256,
-        snapshot_part: 24,
+        part_bytes: 24,
         seed: id,
     }
 }
@@ -156,13 +156,13 @@
         if let Some(snapshot) = &ready.snapshot {
             self.register = Register::restore(snapshot);
         }
-        if ready.writes() {
+        if ready.has_writes() {
             assert!(self.pending.is_none(), "two writes in flight");
             let rest = Ready {
-                early: std::mem::take(&mut ready.early),
+                immediate: std::mem::take(&mut ready.immediate),
                 committed: std::mem::take(&mut ready.committed),
                 reads: std::mem::take(&mut ready.reads),
-                lost_reads: std::mem::take(&mut ready.lost_reads),
+                failed_reads: std::mem::take(&mut ready.failed_reads),
                 ..Ready::default()
             };
             self.pending = Some(std::mem::replace(&mut ready, rest));
--- a/crates/consensus/tests/schedules/sim/mod.rs
+++ b/crates/consensus/tests/schedules/sim/mod.rs
@@ -174,10 +174,10 @@
         }
         host.reads.extend(ready.reads);
         self.clients.answer(host, now);
-        for read in ready.lost_reads {
+        for read in ready.failed_reads {
             self.clients.lost(read, now);
         }
-        self.post(ready.early);
+        self.post(ready.immediate);
         self.post(ready.messages);
     }
 
@@ -358,7 +358,8 @@
     /// Proposes on the leader of the highest term that can commit, unless it already has.
     fn propose_on_leader(&mut self, goal: Option<Position>) -> Option<Position> {
         let nodes = self.hosts.values_mut().filter_map(|host| host.node.as_mut());
-        let node = nodes.filter(|node| node.status().settled).max_by_key(|n| n.status().term);
+        let node =
+            nodes.filter(|node| node.status().term_committed).max_by_key(|n| n.status().term);
         let fresh = node.filter(|node| goal.is_none_or(|goal| goal.term < node.status().term));
         // Leaders that have since transferred leadership or were deposed may have lost the last
         // proposal.
@@ -366,7 +367,7 @@
     }
 
     fn all_applied(&self, goal: Position) -> bool {
-        let leads = |node: &&Node| node.status().settled && node.status().term == goal.term;
+        let leads = |node: &&Node| node.status().term_committed && node.status().term == goal.term;
         let Some(leader) = self.hosts.values().filter_map(|h| h.node.as_ref()).find(leads) else {
             return false;
         };
--- a/crates/consensus/tests/slow_disks/sim.rs
+++ b/crates/consensus/tests/slow_disks/sim.rs
@@ -269,10 +269,10 @@
                 self.measured.commits += ready.committed.len();
             }
             self.confirm(&ready.reads);
-            for read in ready.lost_reads {
+            for read in ready.failed_reads {
                 self.reads.remove(&read);
             }
-            self.post(ready.early);
+            self.post(ready.immediate);
             self.post(ready.messages);
         }
     }
@@ -345,7 +345,7 @@
         transfer_ticks: 300,
         max_entries: 1024,
         max_bytes: 1 << 20,
-        snapshot_part: 256 << 10,
+        part_bytes: 256 << 10,
         seed,
     }
 }
--- a/crates/control/src/core/turn.rs
+++ b/crates/control/src/core/turn.rs
@@ -19,13 +19,13 @@
         while self.node.has_work() {
             let mut ready = self.node.ready();
             let messages = self.journal.write(&mut ready)?;
-            self.send(std::mem::take(&mut ready.early));
+            self.send(std::mem::take(&mut ready.immediate));
             self.send(messages);
             if let Some(snapshot) = &ready.snapshot {
                 self.install(snapshot)?;
             }
             self.apply(ready.committed)?;
-            self.answer_reads(ready.reads, ready.lost_reads);
+            self.answer_reads(ready.reads, ready.failed_reads);
         }
         self.compact()?;
         self.show();
@@ -34,7 +34,7 @@
 
     /// Goes on after writes that have ended: what waited for them may go out.
     pub(super) fn take_written(&mut self) -> StepResult<()> {
-        while let Some(saved) = self.journal.saved(&mut self.node)? {
+        while let Some(saved) = self.journal.next_saved(&mut self.node)? {
             if saved.compacted {
                 self.config.metrics.snapshots.inc();
             } else {
@@ -114,7 +114,7 @@
     /// snapshot: a large state is not written anew for every few records.
     fn compact(&mut self) -> StepResult<()> {
         let due = self.journal.log_size().0 > self.config.log_size.max(self.saved);
-        if !due || self.journal.compacts() {
+        if !due || self.journal.is_compacting() {
             return Ok(());
         }
         let Some(mut snapshot) = self.node.snapshot_head(self.applied) else {
@@ -152,7 +152,7 @@
             role: status.role,
             term: status.term,
             leader: status.leader,
-            settled: status.settled,
+            settled: status.term_committed,
             commit: status.commit,
             applied: self.applied,
             version: self.image.state.version(),
--- a/crates/control/src/folder/mod.rs
+++ b/crates/control/src/folder/mod.rs
@@ -90,7 +90,7 @@
         transfer_ticks: TRANSFER_TICKS,
         max_entries: MAX_ENTRIES,
         max_bytes: MAX_BYTES,
-        snapshot_part: SNAPSHOT_PART,
+        part_bytes: SNAPSHOT_PART,
         seed: rand::random(),
     }
 }
--- a/crates/control/src/owners.rs
+++ b/crates/control/src/owners.rs
@@ -55,7 +55,7 @@
     /// Declares lost what is lost.
     pub(crate) async fn turn(&mut self, member: &Member) {
         let own = |state: &state::State| {
-            state.lives().map(|(vm, owner)| (vm.clone(), owner)).collect::<Vec<_>>()
+            state.live_incarnations().map(|(vm, owner)| (vm.clone(), owner)).collect::<Vec<_>>()
         };
         let Some(lives) = member.core.look(own).await else {
             return;
--- a/crates/control/src/session.rs
+++ b/crates/control/src/session.rs
@@ -223,6 +223,7 @@
 async fn is_live(sessions: &Sessions, vm: &VmName, owner: Incarnation) -> bool {
     tokio::time::sleep(LIVE_PERIOD).await;
     let vm = vm.clone();
-    let look = move |state: &State| state.lives().any(|it| (it.0, it.1) == (&vm, owner));
+    let look =
+        move |state: &State| state.live_incarnations().any(|it| (it.0, it.1) == (&vm, owner));
     sessions.asker.core.look(look).await.unwrap_or(true)
 }
--- a/crates/registry/src/driver.rs
+++ b/crates/registry/src/driver.rs
@@ -286,7 +286,7 @@
 
     /// Goes on after writes that have ended: what waited for them may go out.
     fn take_written(&mut self) -> StepResult<()> {
-        while let Some(saved) = self.journal.saved(&mut self.node)? {
+        while let Some(saved) = self.journal.next_saved(&mut self.node)? {
             if saved.took > SLOW_WRITE {
                 log::warn!(ms = saved.took.as_millis() as u64; "the disk was slow to sync");
             }
@@ -343,7 +343,7 @@
                 self.held = Arc::new(decode(&snapshot.data)?);
                 self.applied = snapshot.index;
             }
-            for message in ready.early.into_iter().chain(messages) {
+            for message in ready.immediate.into_iter().chain(messages) {
                 self.send(message);
             }
             let mut committed = Vec::new();
@@ -360,10 +360,10 @@
             for position in committed {
                 self.answer_put(position);
             }
-            self.take_reads(ready.reads, ready.lost_reads);
+            self.take_reads(ready.reads, ready.failed_reads);
             self.answer_reads();
         }
-        if self.journal.log_size().0 > LOG_LIMIT && !self.journal.compacts() {
+        if self.journal.log_size().0 > LOG_LIMIT && !self.journal.is_compacting() {
             self.compact()?;
         }
         Ok(())
@@ -413,7 +413,7 @@
         transfer_ticks: TRANSFER_TICKS,
         max_entries: 64,
         max_bytes: 1 << 20,
-        snapshot_part: SNAPSHOT_PART,
+        part_bytes: SNAPSHOT_PART,
         seed: rand::random(),
     }
 }
--- a/crates/registry/src/driver/view.rs
+++ b/crates/registry/src/driver/view.rs
@@ -37,7 +37,7 @@
         let leader = status.leader.filter(|_| !self.resigned);
         let leader = leader.and_then(|it| self.address(it));
         let role = status.role;
-        let settled = status.settled && !status.transferring;
+        let settled = status.term_committed && !status.transferring;
         let current = CurrentView {
             term: status.term,
             led: leader.is_some(),
--- a/crates/replica/src/journal.rs
+++ b/crates/replica/src/journal.rs
@@ -46,7 +46,7 @@
 
 impl Journal {
     /// Starts to write to a folder. After each write, `wake` is called on another thread;
-    /// [`Journal::saved`] then has a result.
+    /// [`Journal::next_saved`] then has a result.
     ///
     /// # Errors
     /// Fails if the thread can't be started.
@@ -68,7 +68,7 @@
     /// Fails if an entry can't be encoded, or if the disk has failed.
     pub fn write(&mut self, ready: &mut Ready) -> StepResult<Vec<Message>> {
         let messages = std::mem::take(&mut ready.messages);
-        if !ready.writes() {
+        if !ready.has_writes() {
             return Ok(messages);
         }
         let hard_state = ready.hard_state.as_ref().map(encode).transpose()?;
@@ -88,7 +88,7 @@
     /// # Errors
     /// Fails if the snapshot can't be encoded, or if the disk has failed.
     pub fn snapshot(&mut self, node: &Node, snapshot: Snapshot) -> StepResult<()> {
-        if self.compacts() {
+        if self.is_compacting() {
             return Ok(());
         }
         self.waiting = Some(snapshot);
@@ -96,7 +96,7 @@
     }
 
     /// Returns whether a snapshot of this node's own state is waiting or in flight.
-    pub fn compacts(&self) -> bool {
+    pub fn is_compacting(&self) -> bool {
         self.waiting.is_some()
             || self.pending.iter().any(|it| matches!(it, PendingWrite::Snapshot(_)))
     }
@@ -112,7 +112,7 @@
     /// Fails if the write failed. The member must then stop: from then on the log in memory differs
     /// from the log on disk, and a restart could forget a vote or an acknowledgement that was given
     /// from memory.
-    pub fn saved(&mut self, node: &mut Node) -> StepResult<Option<SavedWrite>> {
+    pub fn next_saved(&mut self, node: &mut Node) -> StepResult<Option<SavedWrite>> {
         let Ok(written) = self.written.try_recv() else { return Ok(None) };
         let pending_write = self.pending.pop_front();
         let step = match &pending_write {
--- a/crates/replica/tests/journal.rs
+++ b/crates/replica/tests/journal.rs
@@ -26,7 +26,7 @@
         transfer_ticks: 30,
         max_entries: 16,
         max_bytes: 4096,
-        snapshot_part: 4096,
+        part_bytes: 4096,
         seed: 1,
     }
 }
@@ -84,7 +84,10 @@
 
     fn wait_saved(&mut self) -> SavedWrite {
         self.woken.recv_timeout(TIMEOUT).expect("a write ends");
-        self.journal.saved(&mut self.node).expect("the write succeeds").expect("a write has ended")
+        self.journal
+            .next_saved(&mut self.node)
+            .expect("the write succeeds")
+            .expect("a write has ended")
     }
 }
 
@@ -116,9 +119,9 @@
     follower.journal.snapshot(&follower.node, snapshot.clone()).expect("the snapshot is accepted");
     follower.journal.write(&mut ready).expect("the write is submitted");
     let mut later = follower.append(2);
-    assert!(!later.writes(), "one write at a time");
+    assert!(!later.has_writes(), "one write at a time");
     assert!(!follower.wait_saved().compacted);
-    assert!(follower.journal.compacts());
+    assert!(follower.journal.is_compacting());
     let mut rest = follower.node.ready();
     follower.journal.write(&mut rest).expect("the write is submitted");
     follower.journal.write(&mut later).expect("the write is submitted");
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -173,7 +173,7 @@
 
     /// Lists the entry processes that may get claims: at most one of each VM. A process whose
     /// session stays away for long must be declared lost by a `Lost` command.
-    pub fn lives(&self) -> impl Iterator<Item = (&VmName, Incarnation)> {
+    pub fn live_incarnations(&self) -> impl Iterator<Item = (&VmName, Incarnation)> {
         self.incarnations.live()
     }
 
