--- a/crates/control/src/core/ready.rs
+++ b/crates/control/src/core/ready.rs
@@ -21,13 +21,13 @@
         while self.node.has_work() {
             let mut ready = self.node.ready();
             let messages = self.journal.write(&mut ready)?;
-            self.send(std::mem::take(&mut ready.early));
+            self.send(std::mem::take(&mut ready.immediate));
             self.send(messages);
             if let Some(snapshot) = &ready.snapshot {
                 self.install(snapshot)?;
             }
             self.apply(ready.committed)?;
-            self.answer_reads(ready.reads, ready.lost_reads);
+            self.answer_reads(ready.reads, ready.failed_reads);
         }
         self.compact()?;
         self.publish_view();
@@ -36,7 +36,7 @@
 
     /// Handles finished writes: sends the messages that had to wait for them.
     pub(super) fn finish_writes(&mut self) -> StepResult<()> {
-        while let Some(saved) = self.journal.saved(&mut self.node)? {
+        while let Some(saved) = self.journal.next_saved(&mut self.node)? {
             if saved.compacted {
                 self.config.metrics.snapshots.inc();
             } else {
@@ -117,7 +117,7 @@
     /// few records.
     fn compact(&mut self) -> StepResult<()> {
         let due = self.journal.log_size().0 > self.config.log_size.max(self.snapshot_size);
-        if !due || self.journal.compacts() {
+        if !due || self.journal.is_compacting() {
             return Ok(());
         }
         let Some(mut snapshot) = self.node.snapshot_head(self.applied) else {
@@ -155,7 +155,7 @@
             role: status.role,
             term: status.term,
             leader: status.leader,
-            settled: status.settled,
+            settled: status.term_committed,
             commit: status.commit,
             applied: self.applied,
             version: self.machine.state.version(),
--- a/crates/control/src/entry_monitor.rs
+++ b/crates/control/src/entry_monitor.rs
@@ -60,7 +60,7 @@
     /// Declares in the replicated state which incarnations are lost.
     pub(crate) async fn declare_lost(&mut self, member: &Member) {
         let list_incarnations = |state: &state::State| {
-            state.lives().map(|(vm, owner)| (vm.clone(), owner)).collect::<Vec<_>>()
+            state.live_incarnations().map(|(vm, owner)| (vm.clone(), owner)).collect::<Vec<_>>()
         };
         let Some(incarnations) = member.core.inspect(list_incarnations).await else {
             return;
--- a/crates/control/src/session.rs
+++ b/crates/control/src/session.rs
@@ -231,6 +231,7 @@
 async fn is_incarnation_live(sessions: &Sessions, vm: &VmName, owner: Incarnation) -> bool {
     tokio::time::sleep(LIVE_CHECK_INTERVAL).await;
     let vm = vm.clone();
-    let is_known = move |state: &State| state.lives().any(|it| (it.0, it.1) == (&vm, owner));
+    let is_known =
+        move |state: &State| state.live_incarnations().any(|it| (it.0, it.1) == (&vm, owner));
     sessions.leader_client.core.inspect(is_known).await.unwrap_or(true)
 }
