--- a/crates/types/src/claim.rs
+++ b/crates/types/src/claim.rs
@@ -1,14 +1,14 @@
-//! Idempotency claims: what entries ask of the replicated state so that a non-repeatable request
-//! runs at most once.
+//! Idempotency claims: an entry claims a request's key in the replicated state before it runs a
+//! non-repeatable request, so that the request runs at most once.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{CustomerName, IdempotencyKey, Incarnation, Outcome, VmName};
 
-/// The SHA-256 of a request's pipeline and body. A resend must carry the same.
+/// The SHA-256 of a request's pipeline and body. A resend must have the same fingerprint.
 pub type Fingerprint = [u8; 32];
 
-/// The scope in which a key is unique.
+/// A caller's idempotency key, which is unique per customer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// The customer whose caller sent the key.
@@ -17,64 +17,64 @@
     pub key: IdempotencyKey,
 }
 
-/// Proof of one granted claim: the entry process that holds it and its attempt.
+/// Identifies one attempt to claim a key: the entry process that asks and the number it drew.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimTicket {
     /// The VM of the entry that asked.
     pub vm: VmName,
-    /// The life of the entry process that asked.
+    /// The incarnation of the entry process that asked.
     pub owner: Incarnation,
-    /// Drawn at random by the owner for each request it receives, so that a command sent twice is
-    /// told from a second request.
+    /// A number that the owner draws at random for each request it receives. It tells a command
+    /// that was sent twice from a second request.
     pub attempt: u64,
 }
 
 /// A request for a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// What is claimed.
+    /// The key that is claimed.
     pub key: ClaimKey,
     /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Who claims.
+    /// The entry process that claims, and its attempt.
     pub ticket: ClaimTicket,
 }
 
-/// The answer kept for resends.
+/// The answer that is stored for resends of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// The request's outcome.
     pub outcome: Outcome,
     /// The HTTP status of the answer.
     pub status: u16,
-    /// The whole body, or `None` where it exceeded the limit; then only `digest` is known.
+    /// The complete body, or `None` if it exceeded the size limit and only `digest` was stored.
     pub body: Option<Vec<u8>>,
-    /// The SHA-256 of the whole body.
+    /// The SHA-256 of the complete body.
     pub digest: [u8; 32],
 }
 
-/// What the replicated state says to a request for a claim.
+/// The answer of the replicated state to a [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The claim is committed; its owner, and nobody else ever, may send the call.
+    /// The claim is committed: its owner, and no other process at any time, may send the call.
     Granted,
     /// Another attempt holds the claim and its owner is alive.
     Running,
     /// The request has ended; this is its answer.
     Done(StoredAnswer),
-    /// The owner of the claim is lost: whether the call ran is not known, and it never runs again.
+    /// The owner of the claim is lost. It is unknown whether the call ran; it is not run again.
     OwnerLost,
-    /// The key is held by a request with another fingerprint.
+    /// A request with another fingerprint holds the key.
     Mismatch,
-    /// The key is too old for its record to exist still; the request is refused, not run.
+    /// The key is too old for its record to be kept still. The request is refused and not run.
     Expired,
-    /// There is no room for another key; the request is refused, not run.
+    /// The limit on stored keys is reached. The request is refused and not run.
     Full,
 }
 
 impl ClaimAnswer {
-    /// Tells whether an earlier sending of the same claim gets this answer too, whenever it reaches
-    /// the state. Else it may find the key free by then, and be granted.
+    /// Returns whether an earlier copy of the same claim that is still on its way gets this answer
+    /// too, whenever it reaches the state. If not, that copy may find the key free and be granted.
     pub fn is_settled(&self) -> bool {
         match self {
             ClaimAnswer::Granted | ClaimAnswer::Done(_) | ClaimAnswer::Expired => true,
--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -1,23 +1,23 @@
-//! The error that crosses crates: it carries the step and the peer at which it arose.
+//! The error type shared by all crates: a cause with the step that failed and the peer involved.
 
 use std::fmt;
 
-/// A result whose error carries its step and peer.
+/// A result whose error names the step that failed and the peer.
 pub type StepResult<T> = Result<T, StepError>;
 
-/// An error with the step at which it arose and the peer it arose with, if any.
+/// An error with the step that failed and the peer involved, if any.
 #[derive(Debug)]
 pub struct StepError {
-    /// What was being done, as a short phrase: `connect`, `read hello`, `sync log`.
+    /// The step that failed, as a short phrase: `connect`, `read hello`, `sync log`.
     pub step: &'static str,
-    /// The other side: an address, an upstream's name, a file.
+    /// The peer or object of the step: an address, an upstream's name or a file.
     pub peer: Option<String>,
     /// The cause.
     pub cause: Box<dyn std::error::Error + Send + Sync>,
 }
 
 impl StepError {
-    /// Wraps `cause` with its step.
+    /// Wraps `cause` with the step that failed.
     pub fn new(
         step: &'static str,
         cause: impl Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -25,7 +25,7 @@
         Self { step, peer: None, cause: cause.into() }
     }
 
-    /// Adds the peer.
+    /// Adds the peer or object of the step.
     pub fn at(mut self, peer: impl fmt::Display) -> Self {
         self.peer = Some(peer.to_string());
         self
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -1,23 +1,23 @@
-//! Identifiers. Names come from operators and are checked; numbers and random ids come from the
-//! system itself.
+//! Identifiers. Names come from operators and keys from callers; both are validated. Numbers and
+//! random ids are made by the system itself.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name an operator may give, in bytes.
-const NAME_LIMIT: usize = 64;
+/// The maximum length of a name that an operator may give.
+const MAX_NAME_BYTES: usize = 64;
 
-/// The longest idempotency key a caller may send, in bytes.
-const KEY_LIMIT: usize = 128;
+/// The maximum length of an idempotency key that a caller may send.
+const MAX_KEY_BYTES: usize = 128;
 
-/// Tells why a text is not a valid identifier.
+/// A text that is not a valid identifier.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NameError {
     /// The kind of identifier that was expected.
     pub kind: &'static str,
-    /// The text that was refused.
+    /// The invalid text.
     pub text: String,
 }
 
@@ -30,12 +30,12 @@
 impl std::error::Error for NameError {}
 
 fn is_name(text: &str) -> bool {
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    !text.is_empty() && text.len() <= NAME_LIMIT && text.chars().all(plain)
+    let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(allowed)
 }
 
 fn is_key(text: &str) -> bool {
-    !text.is_empty() && text.len() <= KEY_LIMIT && text.chars().all(|c| c.is_ascii_graphic())
+    !text.is_empty() && text.len() <= MAX_KEY_BYTES && text.chars().all(|c| c.is_ascii_graphic())
 }
 
 macro_rules! names {
@@ -46,7 +46,7 @@
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// Returns the text of the identifier.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -86,7 +86,7 @@
 }
 
 names! {
-    /// Names a customer: a party whose callers share a key, a priority and limits.
+    /// Names a customer: callers that share bearer keys, a priority and limits.
     CustomerName, "customer name", is_name;
     /// Names a pipeline.
     PipelineName, "pipeline name", is_name;
@@ -94,9 +94,9 @@
     StageName, "stage name", is_name;
     /// Names a pool of upstreams that do the same work.
     PoolName, "pool name", is_name;
-    /// Names an upstream: one back end process that serves stage calls.
+    /// Names an upstream: one back-end process that serves stage calls.
     UpstreamName, "upstream name", is_name;
-    /// Names a site: a zone whose VMs are near each other.
+    /// Names a site: a zone whose VMs are close to each other.
     SiteName, "site name", is_name;
     /// Names a model.
     ModelName, "model name", is_name;
@@ -104,7 +104,7 @@
     VmName, "VM name", is_name;
     /// Names an operator.
     OperatorName, "operator name", is_name;
-    /// A caller's idempotency key: printable ASCII without blanks.
+    /// A caller's idempotency key: printable ASCII without spaces.
     IdempotencyKey, "idempotency key", is_key;
 }
 
@@ -134,22 +134,23 @@
 }
 
 numbers! {
-    /// A version of the service; the first accepted document has version 1.
+    /// A version of the service document; the first accepted document has version 1.
     Version(u64);
     /// A term of the replicated log.
     Term(u64);
-    /// A position in the replicated log; the first entry has index 1.
+    /// An index in the replicated log; the first entry has index 1.
     LogIndex(u64);
-    /// A fencing number that orders carry; a higher one supersedes a lower one.
+    /// A fencing number in an order to an upstream; an order with a higher number supersedes those
+    /// with lower ones.
     Fence(u64);
-    /// One life of a control member's data folder. A lost disk comes back with a new one, so a
-    /// vote of the old folder is never repeated.
+    /// Identifies one incarnation of a control member's data folder. A member that lost its disk
+    /// gets a new id, so that it cannot repeat a vote that the old folder gave.
     NodeId(u64);
-    /// One life of an entry process, drawn at random when it starts.
+    /// Identifies one incarnation (one start) of an entry process; drawn at random at the start.
     Incarnation(u64);
 }
 
-macro_rules! tokens {
+macro_rules! uuids {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
         #[derive(
@@ -159,7 +160,7 @@
         pub struct $name(pub uuid::Uuid);
 
         impl $name {
-            /// Draws a new random id.
+            /// Returns a new random id.
             pub fn random() -> Self {
                 Self(uuid::Uuid::new_v4())
             }
@@ -181,11 +182,11 @@
     )*};
 }
 
-tokens! {
-    /// Identifies one caller's request, in answers, logs and upstream calls.
+uuids! {
+    /// Identifies one request of a caller in answers, logs and upstream calls.
     RequestId;
-    /// Identifies one call of one stage at one upstream; the response must echo it.
+    /// Identifies one call of a stage at an upstream; the response must repeat it.
     CallId;
-    /// Identifies a change that an operator asks for; a resend carries the same id.
+    /// Identifies a change that an operator requests; a resend carries the same id.
     ChangeId;
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,5 +1,5 @@
-//! Identifiers, sizes, rates, deadlines, outcomes, the service description and errors shared by
-//! all crates. No I/O happens here.
+//! Types shared by all crates: identifiers, sizes, rates, durations, outcomes, the service
+//! description and errors. This crate does no I/O.
 
 mod claim;
 mod error;
--- a/crates/types/src/load.rs
+++ b/crates/types/src/load.rs
@@ -1,4 +1,4 @@
-//! The load digest: what all entries together know of each upstream.
+//! The load digest: the load of each upstream, summed over all entries.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,14 +8,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UpstreamStanding {
-    /// It takes new work.
+    /// The upstream takes new work.
     #[default]
     Live,
-    /// It is leaving: work under way ends there, new work goes elsewhere.
+    /// The upstream is draining: its work in flight ends there, new work goes to others.
     Leaving,
 }
 
-/// What is known of one upstream.
+/// The known load of one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamLoad {
     /// The upstream.
@@ -24,19 +24,20 @@
     pub in_flight: u32,
     /// Calls running and waiting, as the upstream itself reported.
     pub reported: Option<u32>,
-    /// The age of `reported` when the digest was made.
+    /// The age of `reported` when the digest was built.
     pub report_age: Millis,
-    /// Whether it may get new work.
+    /// Whether the upstream may get new work.
     pub standing: UpstreamStanding,
 }
 
-/// A set of loads; a delta holds only those that changed.
+/// The loads of several upstreams; a delta holds only those that changed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Numbers the digests of one control process, so that an old datagram is dropped.
+    /// The number of this digest among those of one control process; a receiver drops an old
+    /// datagram by it.
     pub sequence: u64,
     /// The loads.
     pub loads: Vec<UpstreamLoad>,
-    /// How many entries the in-flight counts stand for.
+    /// The number of entries whose in-flight counts are summed.
     pub entries: u32,
 }
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,26 +1,26 @@
-//! What a caller is told about its request.
+//! Outcomes of requests and reasons for refusals, as callers see them.
 
 use std::fmt;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The whole answer is delivered.
+    /// The complete answer was delivered.
     Complete,
-    /// No byte of any stage call can have reached an upstream.
+    /// The request did not run: no byte of any stage call can have reached an upstream.
     NotRun,
-    /// The request may have run; its answer is not known.
+    /// The request may have run; its result is unknown.
     Unknown,
     /// The request ran and ended in an error.
     Failed,
 }
 
 impl Outcome {
-    /// Every outcome, in the order of the metrics' labels.
+    /// All outcomes, in the order of the metrics' labels.
     pub const ALL: [Outcome; 4] =
         [Outcome::Complete, Outcome::NotRun, Outcome::Unknown, Outcome::Failed];
 
@@ -41,21 +41,21 @@
     }
 }
 
-/// Why work was refused before it was sent anywhere.
+/// Why work was refused before it was sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalReason {
-    /// The customer exceeds its rate.
+    /// The customer exceeds its request rate.
     CustomerRate,
-    /// The customer exceeds its concurrent requests.
+    /// The customer exceeds its limit of concurrent requests.
     CustomerConcurrency,
-    /// The customer exceeds its tokens a second.
+    /// The customer exceeds its limit of generated tokens per second.
     CustomerTokens,
-    /// The backlog leaves too little of the request's deadline.
+    /// The backlog leaves too little time before the request's deadline.
     DeadlineTooShort,
-    /// The queue is full, and all in it has at least the same claim.
+    /// The queue is full, and none of the queued work ranks below this work.
     QueueFull,
-    /// Work with a stronger claim took the place in the queue.
+    /// Work of a higher rank took this work's place in the queue.
     Displaced,
     /// No upstream of the pool takes new work.
     NoUpstream,
@@ -63,9 +63,9 @@
     RetryBudget,
     /// The VM is draining.
     Draining,
-    /// The VM holds no service yet, or cannot tell whether its version is still in force.
+    /// The VM has no service description yet, or cannot tell whether its version is in force.
     StaleService,
-    /// The claim of a non-repeatable request cannot be committed: there is no quorum.
+    /// The claim of a non-repeatable request cannot be committed without a quorum.
     NoQuorum,
 }
 
@@ -88,12 +88,12 @@
     }
 }
 
-/// A refusal, with the time after which to come back.
+/// A refusal, with the time after which the caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Why the work was refused.
     pub reason: RefusalReason,
-    /// How long the caller should wait before it asks again.
+    /// How long the caller should wait before it retries.
     pub retry_after: Duration,
 }
 
--- a/crates/types/src/quantity.rs
+++ b/crates/types/src/quantity.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and durations with their units.
+//! Quantities with their units: sizes, rates, durations and priorities.
 
 use std::fmt;
 use std::str::FromStr;
@@ -39,17 +39,18 @@
     /// A duration in whole microseconds.
     #[derive(Eq, Ord, Hash)]
     Micros(u64), " us";
-    /// A wall clock time, in milliseconds since the Unix epoch. Never compared between machines.
+    /// A wall clock time in milliseconds since the Unix epoch. Times of different machines must
+    /// not be compared.
     #[derive(Eq, Ord, Hash)]
     UnixMillis(u64), " ms";
-    /// A number of events a second.
+    /// A number of events per second.
     Rate(f64), "/s";
     /// A number of model tokens.
     #[derive(Eq, Ord, Hash)]
     Tokens(u64), " tokens";
-    /// A cost in the service's own unit of account.
+    /// A cost, in a unit that the service's operators choose.
     Cost(f64), "";
-    /// A priority from 0 (first claim on capacity) to 7 (last).
+    /// A priority from 0 (highest) to 7 (lowest).
     #[derive(Eq, Ord, Hash)]
     Priority(u8), "";
 }
@@ -86,7 +87,7 @@
 impl UnixMillis {
     /// Reads the wall clock of this VM.
     pub fn now() -> Self {
-        let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        Self(since.unwrap_or_default().as_millis() as u64)
+        let elapsed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+        Self(elapsed.unwrap_or_default().as_millis() as u64)
     }
 }
--- a/crates/types/src/service.rs
+++ b/crates/types/src/service.rs
@@ -1,4 +1,5 @@
-//! The description of the whole service, as one site sees it after its overlay.
+//! The service description: sites, models, pools, pipelines, customers and limits, as they apply
+//! at one site after its overlay was merged.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,24 +11,24 @@
     SiteName, StageName, Tokens, UpstreamName, Version, VmName,
 };
 
-/// Names a failure domain: VMs that may be lost together.
+/// The name of a failure domain: VMs that may fail together.
 pub type DomainName = String;
 
-/// What operators apply and the replicated state keeps: the text of the base file and of each
-/// site's overlay, as written.
+/// The document that operators apply and the replicated state stores: the text of the base file
+/// and of each site's overlay, as written.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
     /// The base file: JSON with comments.
     pub base: String,
-    /// The overlays: JSON with comments, merged into the base as RFC 7396 says.
+    /// The overlays by site: JSON with comments, merged into the base by RFC 7396.
     pub overlays: BTreeMap<SiteName, String>,
 }
 
-/// The service as in force at one site.
+/// The service description in force at one site.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Service {
-    /// The version of the document this was resolved from; not part of the file.
+    /// The version of the document that this was resolved from; not part of the file.
     #[serde(skip)]
     pub version: Version,
     /// The sites by name.
@@ -46,17 +47,17 @@
     pub claims: ClaimLimits,
     /// Limits on orders to upstreams.
     pub orders: OrderLimits,
-    /// Choices an operator may weigh.
+    /// Trade-offs that operators choose.
     pub policy: Policy,
 }
 
-/// A site.
+/// A site: VMs close to each other in one failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
-    /// The region the site lies in.
+    /// The region of the site.
     pub region: String,
-    /// The failure domain the site lies in.
+    /// The failure domain of the site.
     pub domain: DomainName,
 }
 
@@ -64,29 +65,29 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The version of the weights that should be loaded.
+    /// The version of the weights to load.
     pub version: String,
-    /// Adapters that should be loaded beside it.
+    /// The adapters to load with it.
     #[serde(default)]
     pub adapters: Vec<String>,
     /// The size of the weights in bytes.
     pub weights: ByteSize,
 }
 
-/// What the upstreams of a pool do.
+/// The kind of work that the upstreams of a pool do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PoolKind {
     /// Turns a request into a representation.
     #[default]
     Encode,
-    /// Finds records.
+    /// Retrieves records.
     Retrieve,
-    /// Orders what was found.
+    /// Ranks retrieved records.
     Rerank,
     /// Generates tokens: a model engine.
     Generate,
-    /// A plain service beside the model engines.
+    /// Calls a plain service that runs no model.
     Service,
 }
 
@@ -94,11 +95,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// What its upstreams do.
+    /// The kind of work that its upstreams do.
     pub kind: PoolKind,
     /// The upstreams by name.
     pub upstreams: BTreeMap<UpstreamName, Upstream>,
-    /// The cost of one second of one upstream's busy time.
+    /// The cost of one busy second of one upstream.
     #[serde(default)]
     pub cost: Cost,
 }
@@ -107,29 +108,29 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
-    /// It compares the number and refuses an old one.
+    /// It compares the number and refuses the order if the number is old.
     Checks,
     /// It ignores the number.
     #[default]
     Ignores,
 }
 
-/// An upstream.
+/// An upstream: one back-end process that serves stage calls.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// Its address: an IP number and a port.
+    /// Its IP address and port.
     pub address: SocketAddr,
-    /// The site it lies in.
+    /// Its site.
     pub site: SiteName,
-    /// The VM it runs on, as the platform's list names it.
+    /// The VM it runs on, by its name in the platform's list of VMs.
     pub vm: VmName,
-    /// How many calls it works on at once.
+    /// The maximum number of calls it processes at once.
     pub capacity: u32,
-    /// The model it should have loaded; engines only.
+    /// The model it should load; engines only.
     #[serde(default)]
     pub model: Option<ModelName>,
-    /// The role it should have (`prefill`, `decode` or `both`); engines only.
+    /// The role it should take (`prefill`, `decode` or `both`); engines only.
     #[serde(default)]
     pub role: Option<String>,
     /// Whether it checks fencing numbers.
@@ -138,7 +139,7 @@
     /// Whether it reports its load.
     #[serde(default)]
     pub reports: bool,
-    /// An operator's mark: it is leaving.
+    /// Whether an operator marked it to be drained.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -147,11 +148,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pipeline {
-    /// The stages in their order.
+    /// The stages in the order in which they run.
     pub stages: Vec<Stage>,
-    /// The deadline for a request that names none, and the most one may name.
+    /// The default deadline of a request, and the longest one that a request may set.
     pub deadline: Millis,
-    /// The priority of its requests, where it goes before the customer's.
+    /// The priority of its requests; it overrides the customer's.
     #[serde(default)]
     pub priority: Option<Priority>,
 }
@@ -160,20 +161,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    /// Its name, unique in the pipeline.
+    /// Its name, unique within the pipeline.
     pub name: StageName,
     /// The pool whose upstreams run it.
     pub pool: PoolName,
-    /// Whether a call may be sent again; at most one stage of a pipeline is not repeatable.
+    /// Whether a call may be sent again; at most one stage per pipeline is not repeatable.
     #[serde(default = "yes")]
     pub repeatable: bool,
-    /// The path of the call; plain services only.
+    /// The URL path of the call; plain services only.
     #[serde(default)]
     pub path: Option<String>,
-    /// The most tokens to generate; engines only.
+    /// The maximum number of tokens to generate; engines only.
     #[serde(default)]
     pub tokens: Option<Tokens>,
-    /// The time it takes when nothing is known yet.
+    /// The expected service time, used until times have been measured.
     #[serde(default = "stage_time")]
     pub expected: Millis,
 }
@@ -186,30 +187,30 @@
     Millis(50)
 }
 
-/// A customer.
+/// A customer: callers that share bearer keys, a priority and limits.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
-    /// The SHA-256 of each of its bearer keys, in lower case hexadecimal.
+    /// The SHA-256 of each of its bearer keys, in lowercase hexadecimal.
     pub keys: Vec<String>,
     /// The priority of its requests.
     pub priority: Priority,
     /// The pipelines it may use.
     pub pipelines: Vec<PipelineName>,
-    /// Its limits across all entries.
+    /// Its limits over all entries together.
     #[serde(default)]
     pub limits: CustomerLimits,
 }
 
-/// A customer's limits across all entries; `None` is no limit.
+/// A customer's limits over all entries together; `None` means no limit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CustomerLimits {
-    /// Requests a second.
+    /// The maximum number of requests per second.
     pub rate: Option<Rate>,
-    /// Requests under way at once.
+    /// The maximum number of requests in flight.
     pub concurrency: Option<u32>,
-    /// Generated tokens a second.
+    /// The maximum number of generated tokens per second.
     pub tokens: Option<Rate>,
 }
 
@@ -217,9 +218,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestLimits {
-    /// The largest body in bytes.
+    /// The maximum body size in bytes.
     pub body: ByteSize,
-    /// How long a caller may take to send its whole request.
+    /// How long a caller may take to send its complete request.
     pub read: Millis,
 }
 
@@ -233,11 +234,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClaimLimits {
-    /// The largest answer kept whole; of a larger one the outcome and a digest are kept.
+    /// The maximum size of an answer that is stored in full; of a larger one only the outcome and
+    /// a digest are stored.
     pub answer: ByteSize,
-    /// How long answers are kept.
+    /// How long stored answers are kept.
     pub answers: Millis,
-    /// How many keys are kept in all.
+    /// The maximum number of keys that are stored.
     pub keys: u64,
 }
 
@@ -251,9 +253,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OrderLimits {
-    /// The bytes of weights a second that the weight store gives.
+    /// The throughput of the weight store, in bytes per second.
     pub weights: Rate,
-    /// The longest an order can be under way.
+    /// The longest time that an order can be in transit.
     pub longest: Millis,
 }
 
@@ -263,28 +265,29 @@
     }
 }
 
-/// What an entry does once it cannot tell whether its version is still in force.
+/// What an entry does when it cannot tell whether its version is still in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stale {
-    /// It refuses requests as not run.
+    /// It refuses requests with the outcome [`Outcome::NotRun`](crate::Outcome::NotRun).
     #[default]
     Refuse,
-    /// It serves repeatable requests under the version it has.
+    /// It serves repeatable requests with the version that it has.
     Serve,
 }
 
-/// Choices an operator may weigh.
+/// Trade-offs that operators choose.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// How long after it last asked a quorum an entry trusts its version.
+    /// How long an entry trusts its version after it last confirmed it with a quorum.
     pub freshness: Millis,
-    /// What it does past that.
+    /// What an entry does after that time.
     pub stale: Stale,
-    /// Retries and hedges for each fresh request, as a share.
+    /// The retry budget: retries and hedges allowed per new request.
     pub retries: f64,
-    /// From 0 (only cost counts) to 1 (only attainment counts).
+    /// The weight of attainment against cost, from 0 (only cost counts) to 1 (only attainment
+    /// counts).
     pub attainment: f64,
 }
 
@@ -295,7 +298,7 @@
 }
 
 impl Service {
-    /// Returns the pool, by name, that holds the upstream, and the upstream itself.
+    /// Returns the upstream and the name of its pool.
     pub fn upstream(&self, name: &UpstreamName) -> Option<(&PoolName, &Upstream)> {
         self.pools.iter().find_map(|(pool, it)| Some((pool, it.upstreams.get(name)?)))
     }
