--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! JSON line logs, metrics and the operational HTTP pages shared by both programs.
+//! Logs as JSON lines and Prometheus metrics, shared by all processes.
 
 mod log_line;
 mod metrics;
--- a/crates/telemetry/src/log_line.rs
+++ b/crates/telemetry/src/log_line.rs
@@ -1,5 +1,5 @@
-//! Logs as JSON lines on standard error: `time`, `level`, `target`, `message`, then the fields of
-//! the record, such as `request`, `step` and `peer`.
+//! Logs as JSON lines on standard error. A line has the keys `time`, `level`, `target`, `message`
+//! and those of the record, such as `request`, `step` and `peer`.
 
 use std::io::Write;
 
@@ -7,16 +7,17 @@
 use log::{LevelFilter, Record};
 use serde_json::{Map, Value as Json};
 
-/// Fields whose value is replaced: a secret that a call site passes by mistake would otherwise
-/// outlive its change in every collected log.
-const SECRET_FIELDS: [&str; 5] = ["authorization", "bearer", "password", "secret", "token"];
+/// Keys whose values are redacted. A secret that a call site logs by mistake would otherwise stay
+/// in all collected logs, even after the secret was changed.
+const SECRET_KEYS: [&str; 5] = ["authorization", "bearer", "password", "secret", "token"];
 
-/// What stands in place of a secret.
-const HIDDEN: &str = "(hidden)";
+/// The text that replaces a secret.
+const REDACTED: &str = "(hidden)";
 
-/// Starts logging at `level` (`error`, `warn`, `info`, `debug` or `trace`; else `info`).
+/// Starts logging to standard error at `level`: `error`, `warn`, `info`, `debug` or `trace`; any
+/// other text means `info`.
 ///
-/// A second call changes the level only.
+/// A second call only changes the level.
 pub fn open_log(level: &str) {
     let level = level.parse().unwrap_or(LevelFilter::Info);
     let mut builder = env_logger::Builder::new();
@@ -29,7 +30,7 @@
     }
 }
 
-/// Formats a record as one JSON line, without its line end.
+/// Formats a record as one line of JSON, without a line break at its end.
 pub fn format_line(time: &str, record: &Record<'_>) -> String {
     let mut line = Map::new();
     line.insert("time".to_owned(), time.into());
@@ -37,25 +38,26 @@
     line.insert("target".to_owned(), record.target().into());
     line.insert("message".to_owned(), record.args().to_string().into());
     let mut fields = Fields { line: &mut line };
-    // The visitor never fails; a source that does loses only its remaining fields.
+    // `Fields` never fails. If the source of the fields fails, only its remaining fields are lost.
     let _ = record.key_values().visit(&mut fields);
     Json::Object(line).to_string()
 }
 
+/// Adds the fields of a record to a line; keys that the line already has are kept.
 struct Fields<'a> {
     line: &'a mut Map<String, Json>,
 }
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), kv::Error> {
-        let value = if is_secret(key.as_str()) { HIDDEN.into() } else { to_json(&value) };
+        let value = if is_secret(key.as_str()) { REDACTED.into() } else { to_json(&value) };
         self.line.entry(key.as_str()).or_insert(value);
         Ok(())
     }
 }
 
-fn is_secret(field: &str) -> bool {
-    SECRET_FIELDS.iter().any(|it| field.eq_ignore_ascii_case(it))
+fn is_secret(key: &str) -> bool {
+    SECRET_KEYS.iter().any(|it| key.eq_ignore_ascii_case(it))
 }
 
 fn to_json(value: &Value<'_>) -> Json {
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The text of `/metrics`.
+//! The metrics registry and the text of `/metrics`.
 
 use prometheus::process_collector::ProcessCollector;
 use prometheus::{IntCounter, IntGauge, Registry, TextEncoder};
@@ -6,21 +6,21 @@
 /// The content type of the rendered text.
 pub const CONTENT_TYPE: &str = prometheus::TEXT_FORMAT;
 
-/// Opens a registry that already holds the process's own figures: CPU seconds, memory, open files,
-/// threads, start time.
+/// Creates a registry with the metrics of the process: CPU seconds, memory, open files, threads and
+/// start time.
 pub fn open_registry() -> Registry {
     let registry = Registry::new();
-    // A new registry holds nothing that this could collide with.
+    // This can't fail: a new registry has no metrics whose names could collide.
     let _ = registry.register(Box::new(ProcessCollector::for_self()));
     registry
 }
 
-/// Renders all metrics of a registry.
+/// Renders all metrics of a registry in the Prometheus text format.
 pub fn render(registry: &Registry) -> String {
     TextEncoder::new().encode_to_string(&registry.gather()).unwrap_or_default()
 }
 
-/// The counters of bytes between the system's own processes.
+/// Metrics of the bytes that the system's own processes exchange.
 #[derive(Clone, Debug)]
 pub struct ByteCounters {
     sent: IntCounter,
@@ -29,10 +29,10 @@
 }
 
 impl ByteCounters {
-    /// Registers them.
+    /// Creates the metrics and registers them.
     ///
     /// # Errors
-    /// Where a metric of the same name is registered already.
+    /// Returns an error if a metric of the same name is already registered.
     pub fn open(registry: &Registry) -> Result<Self, prometheus::Error> {
         let sent = IntCounter::new("mothplank_wire_sent_bytes_total", "Bytes to other nodes.")?;
         let received =
@@ -44,7 +44,7 @@
         Ok(Self { sent, received, queued })
     }
 
-    /// Takes the totals since the process started, and what waits in queues now.
+    /// Sets the totals in bytes since the process started, and the bytes queued now.
     pub fn set(&self, sent: u64, received: u64, queued: u64) {
         self.queued.set(i64::try_from(queued).unwrap_or(i64::MAX));
         self.sent.inc_by(sent.saturating_sub(self.sent.get()));
--- a/crates/telemetry/src/output.rs
+++ b/crates/telemetry/src/output.rs
@@ -1,8 +1,8 @@
-//! Log lines to standard output that never block the program.
+//! Logs as JSON lines on standard output, written without ever blocking the program.
 //!
-//! What goes wrong without it: whoever reads the output stalls, the pipe fills, and a request waits
-//! for a log line. Lines go through a short queue to a thread of their own; what does not fit, and
-//! what goes beyond a number of lines a second, is counted and told in one line.
+//! If the reader of the output stalls, the pipe fills up and a direct write would block the request
+//! that logs. Lines therefore go through a bounded queue to a writer thread. Lines beyond the
+//! queue's capacity or the rate limit are dropped and counted, and the writer logs the count.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,33 +14,38 @@
 
 use crate::log_line::format_line;
 
-/// Lines that wait to be written.
-const QUEUE: usize = 512;
+/// The maximum number of lines that wait to be written.
+const MAX_QUEUED_LINES: usize = 512;
 
-/// The lines written a second at most. A busy entry decides some dozens of times a second; beyond
-/// this, lines repeat each other and cost more processor time than the requests they tell of.
-const LINES: u32 = 120;
+/// The maximum number of lines per [`RATE_WINDOW`]. A busy entry logs some dozens of decisions per
+/// second. Above this rate, lines repeat each other and cost more CPU time than the requests that
+/// they describe.
+const MAX_WINDOW_LINES: u32 = 120;
 
-/// The span in which lines are counted.
-const SPAN: Duration = Duration::from_secs(1);
+/// The window in which lines are counted against [`MAX_WINDOW_LINES`].
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Starts logging JSON lines to standard output at `level`; a second call changes the level only.
+/// Starts logging to standard output at `level`: `error`, `warn`, `info`, `debug` or `trace`; any
+/// other text means `info`.
+///
+/// A second call only changes the level. If the writer thread can't be started, the log goes to
+/// standard error instead.
 pub fn open_output_log(level: &str) {
     let level = level.parse().unwrap_or(LevelFilter::Info);
-    let (lines, waiting) = sync_channel(QUEUE);
-    let left_out = Arc::new(AtomicU64::new(0));
-    let counted = Arc::clone(&left_out);
+    let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
+    let dropped = Arc::new(AtomicU64::new(0));
+    let writer_dropped = Arc::clone(&dropped);
     let writer = std::thread::Builder::new()
         .name("log".to_owned())
-        .spawn(move || write(&waiting, &counted, &mut io::stdout()));
+        .spawn(move || write_lines(&queue, &writer_dropped, &mut io::stdout()));
     if writer.is_err() {
-        // Without its writer the log would swallow every line; the usual one is better.
+        // Without a writer thread, all lines would be lost.
         crate::open_log(level.as_str());
         return;
     }
-    let pipe = Pipe { lines, left_out, gate: Mutex::new(Gate::new()) };
+    let sender = LineSender { lines, dropped, limiter: Mutex::new(RateLimiter::new()) };
     let mut builder = env_logger::Builder::new();
-    builder.filter_level(level).target(env_logger::Target::Pipe(Box::new(pipe))).format(
+    builder.filter_level(level).target(env_logger::Target::Pipe(Box::new(sender))).format(
         |buffer, record| {
             let time = buffer.timestamp_millis().to_string();
             writeln!(buffer, "{}", format_line(&time, record))
@@ -51,40 +56,41 @@
     }
 }
 
-/// How many lines may still be written in the present span.
-struct Gate {
-    since: Instant,
+/// Limits the lines per [`RATE_WINDOW`] to [`MAX_WINDOW_LINES`].
+struct RateLimiter {
+    window_start: Instant,
     lines: u32,
 }
 
-impl Gate {
+impl RateLimiter {
     fn new() -> Self {
-        Self { since: Instant::now(), lines: 0 }
+        Self { window_start: Instant::now(), lines: 0 }
     }
 
-    fn pass(&mut self, now: Instant) -> bool {
-        if now.duration_since(self.since) >= SPAN {
-            *self = Self { since: now, lines: 0 };
+    /// Counts a line and returns whether it may be written.
+    fn allow(&mut self, now: Instant) -> bool {
+        if now.duration_since(self.window_start) >= RATE_WINDOW {
+            *self = Self { window_start: now, lines: 0 };
         }
         self.lines += 1;
-        self.lines <= LINES
+        self.lines <= MAX_WINDOW_LINES
     }
 }
 
-/// Where the log writes: a queue that never blocks.
-struct Pipe {
+/// Queues log lines for the writer thread and drops those that don't fit; it never blocks.
+struct LineSender {
     lines: SyncSender<Vec<u8>>,
-    left_out: Arc<AtomicU64>,
-    gate: Mutex<Gate>,
+    dropped: Arc<AtomicU64>,
+    limiter: Mutex<RateLimiter>,
 }
 
-impl Write for Pipe {
+impl Write for LineSender {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let mut gate = self.gate.lock().unwrap_or_else(PoisonError::into_inner);
-        let passed = gate.pass(Instant::now());
-        drop(gate);
-        if !passed || self.lines.try_send(line.to_vec()).is_err() {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+        let mut limiter = self.limiter.lock().unwrap_or_else(PoisonError::into_inner);
+        let allowed = limiter.allow(Instant::now());
+        drop(limiter);
+        if !allowed || self.lines.try_send(line.to_vec()).is_err() {
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -94,18 +100,20 @@
     }
 }
 
-fn write(lines: &Receiver<Vec<u8>>, left_out: &AtomicU64, output: &mut impl Write) {
+/// Writes queued lines, and after each one the number of lines dropped since, until all senders are
+/// gone.
+fn write_lines(lines: &Receiver<Vec<u8>>, dropped: &AtomicU64, output: &mut impl Write) {
     loop {
-        match lines.recv_timeout(SPAN * 5) {
-            // An output that can't be written to has no other place to say so.
+        match lines.recv_timeout(RATE_WINDOW * 5) {
+            // A failed write is ignored: there is no other place to report it.
             Ok(line) => drop(output.write_all(&line).and_then(|()| output.flush())),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        let count = left_out.swap(0, Ordering::Relaxed);
+        let count = dropped.swap(0, Ordering::Relaxed);
         if count > 0 {
             let line = format!(
-                "{{\"level\":\"warn\",\"message\":\"log lines left out\",\"lines\":{count}}}\n"
+                "{{\"level\":\"warn\",\"message\":\"log lines dropped\",\"lines\":{count}}}\n"
             );
             drop(output.write_all(line.as_bytes()));
         }
--- a/crates/telemetry/tests/log_line.rs
+++ b/crates/telemetry/tests/log_line.rs
@@ -1,4 +1,4 @@
-//! The form of a log line.
+//! The format of log lines and of metrics.
 
 use log::{Level, Record};
 use telemetry::format_line;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn one_json_line_each() {
+fn records_are_formatted_as_json_lines() {
     let cases = [
         Case {
             name: "plain",
@@ -26,7 +26,7 @@
             expected: r#"{"level":"info","message":"call\nfailed","peer":"127.0.0.1:1","step":"connect","target":"entry","time":"T"}"#,
         },
         Case {
-            name: "a field never replaces what the record says",
+            name: "a field never replaces a key of the record itself",
             message: "real",
             fields: vec![("message", "forged")],
             expected: r#"{"level":"info","message":"real","target":"entry","time":"T"}"#,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn process_figures_are_rendered() {
+fn process_metrics_are_rendered() {
     let text = telemetry::render(&telemetry::open_registry());
     assert!(text.contains("process_resident_memory_bytes"), "{text}");
 }
