--- a/crates/standins/examples/scenarios/document.rs
+++ b/crates/standins/examples/scenarios/document.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use serde_json::{Value, json};
-use standins::load::{Baseline, Hop};
+use standins::load::{Baseline, BaselineStage};
 use types::{Millis, PoolKind};
 
 use crate::common::hash;
@@ -76,15 +76,15 @@
 
 /// Builds the baseline's settings.
 pub(crate) fn baseline(size: &Size, upstreams: &Upstreams) -> Baseline {
-    let hop = |name: &&str| Hop {
+    let stage = |name: &&str| BaselineStage {
         name: (*name).to_owned(),
         kind: size.pool(name).kind,
         upstreams: upstreams.pool(name).map(|it| it.address()).collect(),
         path: None,
     };
     let pipelines = size.pipelines.iter().map(|it| {
-        let hops = it.stages.iter().map(hop).collect();
-        (it.name.parse().expect("a valid name"), hops)
+        let stages = it.stages.iter().map(stage).collect();
+        (it.name.parse().expect("a valid name"), stages)
     });
     Baseline { pipelines: pipelines.collect(), attempts: 3, timeout: Millis(0) }
 }
--- a/crates/standins/examples/scenarios/overhead.rs
+++ b/crates/standins/examples/scenarios/overhead.rs
@@ -8,7 +8,10 @@
 
 use hdrhistogram::Histogram;
 use serde_json::json;
-use standins::load::{Ask, Attempt, Baseline, Class, Direct, Entries, Hop, Path as Way};
+use standins::load::{
+    AttemptResult, Baseline, BaselineStage, CallerRequest, Class, DirectTransport, EntryTransport,
+    Transport,
+};
 use standins::stage::{self, Stage};
 use tokio::task::JoinSet;
 use types::{Millis, PoolKind, Priority, Rate, StepError, StepResult};
@@ -35,9 +38,9 @@
         stages.push(stage::spawn(config).await?);
     }
     let processes = Processes::start(binary, out, &document(&stages)).await?;
-    let entries = Arc::new(Entries::open(&processes.entries()[..1])?);
+    let entries = Arc::new(EntryTransport::open(&processes.entries()[..1])?);
     let class = Arc::new(class());
-    let direct = Arc::new(Direct::open(&baseline(&stages), std::slice::from_ref(&class))?);
+    let direct = Arc::new(DirectTransport::open(&baseline(&stages), std::slice::from_ref(&class))?);
     tokio::time::sleep(Duration::from_secs(1)).await;
     paced(&direct, &class, Duration::from_secs(1)).await?;
     paced(&entries, &class, Duration::from_secs(1)).await?;
@@ -61,7 +64,7 @@
 }
 
 /// Sends at an even pace and returns the times from the intended sending, in microseconds.
-async fn paced<P: Way>(
+async fn paced<P: Transport>(
     path: &Arc<P>,
     class: &Arc<Class>,
     span: Duration,
@@ -72,16 +75,16 @@
     for number in 0..total {
         let due = start + Duration::from_secs(1) * number as u32 / RATE as u32;
         tokio::time::sleep_until(due.into()).await;
-        let (path, ask) = (path.clone(), ask(class, number));
+        let (path, caller_request) = (path.clone(), caller_request(class, number));
         tasks.spawn(async move {
             let sent = Instant::now();
-            (path.send(ask).await, sent.elapsed())
+            (path.send(caller_request).await, sent.elapsed())
         });
     }
     let mut times = Histogram::new_with_max(60_000_000, 3)
         .map_err(|e| StepError::new("create histogram", e))?;
     while let Some(Ok((attempt, time))) = tasks.join_next().await {
-        if !matches!(attempt, Attempt::Complete(_)) {
+        if !matches!(attempt, AttemptResult::Complete(_)) {
             return Err(StepError::new("measure", format!("{attempt:?}")));
         }
         times.saturating_record(time.as_micros() as u64);
@@ -90,15 +93,15 @@
 }
 
 /// Returns the completed requests a second when callers send without a pause.
-async fn flat_out<P: Way>(path: &Arc<P>, class: &Arc<Class>) -> f64 {
+async fn flat_out<P: Transport>(path: &Arc<P>, class: &Arc<Class>) -> f64 {
     let done = Arc::new(AtomicU64::new(0));
     let mut tasks = JoinSet::new();
     for caller in 0..CALLERS {
         let (path, class, done) = (path.clone(), class.clone(), done.clone());
         tasks.spawn(async move {
             for number in 0.. {
-                let ask = ask(&class, (caller as u64) << 32 | number);
-                if matches!(path.send(ask).await, Attempt::Complete(_)) {
+                let caller_request = caller_request(&class, (caller as u64) << 32 | number);
+                if matches!(path.send(caller_request).await, AttemptResult::Complete(_)) {
                     done.fetch_add(1, Ordering::Relaxed);
                 }
             }
@@ -111,8 +114,12 @@
     rate
 }
 
-fn ask(class: &Arc<Class>, number: u64) -> Ask {
-    Ask { class: class.clone(), marker: format!("m{number}"), budget: class.deadline.into() }
+fn caller_request(class: &Arc<Class>, number: u64) -> CallerRequest {
+    CallerRequest {
+        class: class.clone(),
+        marker: format!("m{number}"),
+        budget: class.deadline.into(),
+    }
 }
 
 fn class() -> Class {
@@ -152,7 +159,7 @@
 }
 
 fn baseline(stages: &[Stage]) -> Baseline {
-    let hop = Hop {
+    let hop = BaselineStage {
         name: "one".to_owned(),
         kind: PoolKind::Encode,
         upstreams: stages.iter().map(Stage::address).collect(),
--- a/crates/standins/examples/scenarios/sums.rs
+++ b/crates/standins/examples/scenarios/result_row.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use standins::load::{Fate, Report};
+use standins::load::{Report, RequestResult};
 
 use crate::cases::{Case, Event, FROM, TO, Which};
 use crate::sizes::{Pool, Size};
@@ -45,8 +45,8 @@
             tight,
             work: upstreams.busy() / least(report, size),
             recovery: report.recovery(TO),
-            wrong: report.count(Fate::Crossed) + report.count(Fate::Incomplete),
-            unanswered: report.count(Fate::Unanswered),
+            wrong: report.count(RequestResult::Crossed) + report.count(RequestResult::Incomplete),
+            unanswered: report.count(RequestResult::Unanswered),
             resends: attempts as f64 / report.records.len().max(1) as f64,
         }
     }
@@ -76,7 +76,10 @@
 
 /// Returns the least work of all completed requests, in seconds.
 fn least(report: &Report, size: &Size) -> f64 {
-    let done = report.records.iter().filter(|it| matches!(it.fate, Fate::InTime | Fate::Late));
+    let done = report
+        .records
+        .iter()
+        .filter(|it| matches!(it.result, RequestResult::InTime | RequestResult::Late));
     let work = done.map(|it| {
         let pipeline = &size.pipelines[it.class];
         size.pools.iter().map(|pool| pipeline.work(pool)).sum::<f64>()
@@ -99,12 +102,12 @@
     let tight = size.pools.iter().max_by(|a, b| load(a).total_cmp(&load(b)));
     let Some(tight) = tight else { return ("", 0.0, 0.0) };
     let most = asked(tight).min(room(tight));
-    let done = |fates: &[Fate]| -> f64 {
-        let done = report.records.iter().filter(|it| fates.contains(&it.fate));
+    let done = |results: &[RequestResult]| -> f64 {
+        let done = report.records.iter().filter(|it| results.contains(&it.result));
         let done = done.filter(|it| within(it.at + it.latency));
         done.map(|it| size.pipelines[it.class].work(tight)).sum()
     };
-    let whole = [Fate::InTime, Fate::Late];
+    let whole = [RequestResult::InTime, RequestResult::Late];
     (tight.name, done(&whole[..1]) / most, done(&whole) / most)
 }
 
--- a/crates/standins/examples/scenarios/upstreams.rs
+++ b/crates/standins/examples/scenarios/upstreams.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use standins::engine::{self, Engine};
-use standins::faults::{Faults, Switch};
+use standins::faults::{FaultSwitch, Faults};
 use standins::stage::{self, ServiceTime, Stage};
 use types::{Micros, Millis, PoolKind, StepResult};
 
@@ -79,7 +79,7 @@
         self.number % SITES.len()
     }
 
-    fn switch(&self) -> &Switch {
+    fn switch(&self) -> &FaultSwitch {
         match &self.fake {
             Fake::Engine(engine) => engine.faults(),
             Fake::Stage(stage) => stage.faults(),
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -1,4 +1,5 @@
-//! The prompt-prefix cache of a fake engine and its events, which come late and with gaps.
+//! The prompt prefix cache of a fake engine, and its events, which are published late and with
+//! gaps.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -9,16 +10,16 @@
 use super::text;
 use crate::http::{self, Reply};
 
-/// The length of a cached block of prompt, in bytes.
+/// The length of a cached block of a prompt, in bytes.
 pub const BLOCK: usize = 64;
 
-/// The most events kept for publishing.
-const EVENTS: usize = 4_096;
+/// The maximum number of events kept for readers.
+const MAX_EVENTS: usize = 4_096;
 
-/// What happened to a prefix.
+/// The kind of change to a cached prefix.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
-enum Kind {
+enum EventKind {
     Stored,
     Evicted,
 }
@@ -27,7 +28,7 @@
 struct Event {
     sequence: u64,
     prefix: u64,
-    kind: Kind,
+    kind: EventKind,
     #[serde(skip)]
     due: Instant,
 }
@@ -38,26 +39,29 @@
     events: Vec<Event>,
 }
 
-/// The cache: blocks by the hash of the prompt up to their end, with the time of last use.
+/// An LRU cache of prompt blocks. The key of a block is the hash of the prompt up to its end.
 #[derive(Debug)]
 pub(super) struct Cache {
-    limit: usize,
-    late: Duration,
-    gaps: u64,
+    max_blocks: usize,
+    event_delay: Duration,
+    /// Every event whose number is a multiple of this is never published; 0 publishes all.
+    gap_interval: u64,
     uses: u64,
+    /// The number of the last use, by prefix.
     blocks: HashMap<u64, u64>,
-    order: VecDeque<(u64, u64)>,
+    /// The prefixes in order of their uses, with outdated uses.
+    use_order: VecDeque<(u64, u64)>,
     sequence: u64,
     events: VecDeque<Event>,
 }
 
-/// Returns the hash of each whole-block prefix of `prompt`, shortest first: 64-bit FNV-1a over the
-/// first [`BLOCK`], twice [`BLOCK`], .. bytes.
+/// Returns the hashes of all prefixes of `prompt` that consist of whole blocks, shortest first: the
+/// 64-bit FNV-1a of the first [`BLOCK`], twice [`BLOCK`], .. bytes.
 pub fn prefixes(prompt: &str) -> Vec<u64> {
     let mut hash = None;
     let blocks = prompt.as_bytes().chunks_exact(BLOCK);
     let step = |block| {
-        let next = text::extend(hash, block);
+        let next = text::extend_hash(hash, block);
         hash = Some(next);
         next
     };
@@ -65,21 +69,21 @@
 }
 
 impl Cache {
-    pub(super) fn new(limit: usize, late: Duration, gaps: u64) -> Self {
+    pub(super) fn new(max_blocks: usize, event_delay: Duration, gap_interval: u64) -> Self {
         Self {
-            limit,
-            late,
-            gaps,
+            max_blocks,
+            event_delay,
+            gap_interval,
             uses: 0,
             blocks: HashMap::new(),
-            order: VecDeque::new(),
+            use_order: VecDeque::new(),
             sequence: 0,
             events: VecDeque::new(),
         }
     }
 
-    /// Returns the share of the prompt that was cached, from 0 to 1, and stores the whole.
-    pub(super) fn visit(&mut self, prompt: &str) -> f64 {
+    /// Stores all blocks of a prompt. Returns the share of them that was cached, from 0 to 1.
+    pub(super) fn lookup_and_store(&mut self, prompt: &str) -> f64 {
         let prefixes = prefixes(prompt);
         let hits = prefixes.iter().take_while(|it| self.blocks.contains_key(it)).count();
         let share = if prefixes.is_empty() { 0.0 } else { hits as f64 / prefixes.len() as f64 };
@@ -90,12 +94,12 @@
         share
     }
 
-    /// Answers `GET /v1/cache?after=N`.
-    pub(super) fn answer(&self, query: &str) -> Reply {
+    /// Builds the response to `GET /v1/cache?after=N`: the published events with numbers above N.
+    pub(super) fn events_reply(&self, query: &str) -> Reply {
         let after = query.strip_prefix("after=").and_then(|it| it.parse().ok()).unwrap_or(0);
         let now = Instant::now();
-        let due = self.events.iter().filter(|it| it.due <= now && it.sequence > after);
-        let events: Vec<Event> = due.copied().collect();
+        let published = self.events.iter().filter(|it| it.due <= now && it.sequence > after);
+        let events: Vec<Event> = published.copied().collect();
         let sequence = events.last().map_or(after, |it| it.sequence);
         http::json(StatusCode::OK, &Events { sequence, events })
     }
@@ -103,29 +107,30 @@
     fn store(&mut self, prefix: u64) {
         self.uses += 1;
         if self.blocks.insert(prefix, self.uses).is_none() {
-            self.publish(prefix, Kind::Stored);
+            self.publish(prefix, EventKind::Stored);
         }
-        self.order.push_back((prefix, self.uses));
+        self.use_order.push_back((prefix, self.uses));
     }
 
     fn evict(&mut self) {
-        while self.blocks.len() > self.limit || self.order.len() > 4 * self.limit {
-            let Some((prefix, used)) = self.order.pop_front() else { return };
+        while self.blocks.len() > self.max_blocks || self.use_order.len() > 4 * self.max_blocks {
+            let Some((prefix, used)) = self.use_order.pop_front() else { return };
             if self.blocks.get(&prefix) == Some(&used) {
                 self.blocks.remove(&prefix);
-                self.publish(prefix, Kind::Evicted);
+                self.publish(prefix, EventKind::Evicted);
             }
         }
     }
 
-    fn publish(&mut self, prefix: u64, kind: Kind) {
+    /// Adds an event to those published, unless it falls into a gap.
+    fn publish(&mut self, prefix: u64, kind: EventKind) {
         self.sequence += 1;
-        if self.gaps > 0 && self.sequence.is_multiple_of(self.gaps) {
+        if self.gap_interval > 0 && self.sequence.is_multiple_of(self.gap_interval) {
             return;
         }
-        let due = Instant::now() + self.late;
+        let due = Instant::now() + self.event_delay;
         self.events.push_back(Event { sequence: self.sequence, prefix, kind, due });
-        if self.events.len() > EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -17,47 +17,47 @@
 use tokio::sync::watch;
 use types::{Fencing, Micros, Millis, ModelName, StepResult};
 
-use crate::faults::Switch;
+use crate::faults::FaultSwitch;
 use crate::handle::{self, Fake, Handle};
 use crate::http::{self, Handler, Reply};
 use crate::slots::Slots;
 use crate::worker;
 
 pub use cache::{BLOCK, prefixes};
-pub use orders::{Order, Standing};
+pub use orders::{Order, OrderStatus};
 pub use text::{token, whole};
 
 /// The settings of a fake engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 means any free port.
     pub listen: SocketAddr,
-    /// How many streams run at once.
+    /// The maximum number of streams that run at once.
     pub capacity: usize,
-    /// How many streams wait before further ones get a 429.
+    /// The maximum number of waiting streams; further calls are answered with status 429.
     pub queue: usize,
-    /// The time to the first token of a prompt that is not cached, in microseconds.
+    /// The time to the first token if the prompt is not cached, in microseconds.
     pub first: Micros,
     /// The time between tokens, in microseconds.
     pub token: Micros,
-    /// The tokens generated where a call names no number.
+    /// The number of tokens to generate if the call doesn't set `max_tokens`.
     pub tokens: u64,
-    /// How many blocks of prompt the prefix cache holds.
+    /// The maximum number of prompt blocks in the prefix cache.
     pub blocks: usize,
-    /// How late cache events are published, in milliseconds.
+    /// The delay before a cache event is published, in milliseconds.
     pub late: Millis,
-    /// One in so many cache events is never published; 0 publishes all.
+    /// Every cache event whose number is a multiple of this is never published; 0 publishes all.
     pub gaps: u64,
-    /// How old the reported load is, in milliseconds.
+    /// The age of the reported load, in milliseconds.
     pub lag: Millis,
     /// Whether orders with an old fencing number are refused.
     pub fencing: Fencing,
-    /// How long an order takes to come into force, in milliseconds.
+    /// The time until an order is in force, in milliseconds.
     pub loading: Millis,
-    /// The model loaded at the start; none answers to every name.
+    /// The model loaded at the start; without one, calls for any model are served.
     pub model: Option<ModelName>,
-    /// The seed of faults.
+    /// The seed of the random faults.
     pub seed: u64,
 }
 
@@ -82,26 +82,26 @@
     }
 }
 
-/// What an engine has counted.
+/// The counters of a fake engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Calls that reached it.
+    /// The calls received.
     pub calls: u64,
-    /// Calls refused.
+    /// The calls refused.
     pub refused: u64,
-    /// Streams sent to their end.
+    /// The streams sent to their end.
     pub finished: u64,
-    /// Streams ended by a cancel or a disconnect.
+    /// The streams that ended early, by a cancel, a disconnect or a fault.
     pub cancelled: u64,
-    /// Streams that went on from delivered tokens.
+    /// The streams that resumed after tokens delivered earlier.
     pub resumed: u64,
-    /// Resumed calls whose delivered text is not what this prompt gives.
+    /// The resumed calls whose delivered text doesn't match the text of the prompt.
     pub mismatched: u64,
-    /// Tokens sent.
+    /// The tokens sent.
     pub tokens: u64,
-    /// The total time that places were taken, in microseconds, abandoned streams included.
+    /// The total time for which slots were occupied, in microseconds, including abandoned streams.
     pub busy_us: u64,
-    /// The most streams that ran at once.
+    /// The largest number of streams that ran at once.
     pub peak: u64,
 }
 
@@ -113,7 +113,7 @@
 pub struct FakeEngine {
     config: Config,
     slots: Slots,
-    faults: Switch,
+    faults: FaultSwitch,
     cache: Mutex<cache::Cache>,
     orders: Mutex<orders::Orders>,
     calls: Mutex<HashMap<String, watch::Sender<bool>>>,
@@ -135,12 +135,12 @@
 /// Starts a fake engine.
 ///
 /// # Errors
-/// The address cannot be listened on.
+/// Returns an error if the fake can't listen on its address.
 pub async fn spawn(config: Config) -> StepResult<Engine> {
     let listen = config.listen;
     let fake = FakeEngine {
         slots: Slots::new(config.capacity),
-        faults: Switch::new(config.seed),
+        faults: FaultSwitch::new(config.seed),
         cache: Mutex::new(cache::Cache::new(config.blocks, config.late.into(), config.gaps)),
         orders: Mutex::new(orders::Orders::new(&config)),
         calls: Mutex::default(),
@@ -152,16 +152,16 @@
 }
 
 impl Handle<FakeEngine> {
-    /// Returns the order in force.
-    pub fn standing(&self) -> Standing {
-        lock(&self.fake.orders).standing()
+    /// Returns the last accepted order and whether it is in force.
+    pub fn order_status(&self) -> OrderStatus {
+        lock(&self.fake.orders).status()
     }
 }
 
 impl Fake for FakeEngine {
     type Counts = Counts;
 
-    fn faults(&self) -> &Switch {
+    fn faults(&self) -> &FaultSwitch {
         &self.faults
     }
 
@@ -189,15 +189,15 @@
             (&Method::POST, "/v1/cancel") => self.cancel(request.body()),
             (&Method::GET, "/v1/load") => {
                 let draining = self.faults.get().draining;
-                worker::load(&self.slots, self.config.lag.into(), draining)
+                worker::load_reply(&self.slots, self.config.lag.into(), draining)
             }
             (&Method::GET, "/v1/cache") => {
-                lock(&self.cache).answer(request.uri().query().unwrap_or_default())
+                lock(&self.cache).events_reply(request.uri().query().unwrap_or_default())
             }
             (&Method::GET, "/v1/orders") => {
-                http::json(StatusCode::OK, &lock(&self.orders).standing())
+                http::json(StatusCode::OK, &lock(&self.orders).status())
             }
-            (&Method::POST, "/v1/orders") => lock(&self.orders).take(request.body()),
+            (&Method::POST, "/v1/orders") => lock(&self.orders).answer_order(request.body()),
             (&Method::POST, "/faults") => self.faults.command(request.body()),
             (&Method::GET, "/counts") => http::json(StatusCode::OK, &self.counts()),
             _ => http::error(StatusCode::NOT_FOUND, "no such call"),
@@ -222,7 +222,7 @@
     }
 }
 
-/// Locks a mutex that nothing can leave in a broken state.
+/// Locks a mutex whose value stays valid even if a thread panics while it holds the lock.
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to a fake engine: an absolute target, with or without a check of its fencing number.
+//! Orders to a fake engine. An order is the complete target state; its fencing number may be
+//! checked or ignored.
 
 use std::time::{Duration, Instant};
 
@@ -18,21 +19,21 @@
     pub fence: Fence,
     /// The model to load.
     pub model: Option<String>,
-    /// The version of its weights.
+    /// The version of the model's weights.
     pub version: Option<String>,
-    /// The adapters to load beside it.
+    /// The adapters to load with the model.
     pub adapters: Vec<String>,
     /// The role to take.
     pub role: Option<String>,
 }
 
-/// The answer to `GET /v1/orders`.
+/// The body of the response to `GET /v1/orders`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
-    /// The order last taken.
+pub struct OrderStatus {
+    /// The last accepted order.
     #[serde(flatten)]
     pub order: Order,
-    /// `ready` or `loading`.
+    /// `ready`, or `loading` until the order is in force.
     pub state: String,
 }
 
@@ -41,7 +42,7 @@
     fencing: Fencing,
     loading: Duration,
     order: Order,
-    ready: Instant,
+    ready_at: Instant,
 }
 
 impl Orders {
@@ -51,26 +52,26 @@
             fencing: config.fencing,
             loading: config.loading.into(),
             order: Order { model, ..Order::default() },
-            ready: Instant::now(),
+            ready_at: Instant::now(),
         }
     }
 
-    pub(super) fn standing(&self) -> Standing {
+    pub(super) fn status(&self) -> OrderStatus {
         let state = if self.is_ready() { "ready" } else { "loading" };
-        Standing { order: self.order.clone(), state: state.to_owned() }
+        OrderStatus { order: self.order.clone(), state: state.to_owned() }
     }
 
     pub(super) fn is_ready(&self) -> bool {
-        Instant::now() >= self.ready
+        Instant::now() >= self.ready_at
     }
 
-    /// Tells whether a call for `model` can be served.
+    /// Returns whether calls for `model` can be served; an empty name matches any model.
     pub(super) fn serves(&self, model: &str) -> bool {
         model.is_empty() || self.order.model.as_deref().is_none_or(|it| it == model)
     }
 
-    /// Takes or refuses an order.
-    pub(super) fn take(&mut self, body: &Bytes) -> Reply {
+    /// Accepts or refuses an order and builds the response.
+    pub(super) fn answer_order(&mut self, body: &Bytes) -> Reply {
         let order: Order = match serde_json::from_slice(body) {
             Ok(order) => order,
             Err(e) => return http::error(StatusCode::BAD_REQUEST, &e.to_string()),
@@ -84,9 +85,9 @@
             && order.adapters == self.order.adapters
             && order.role == self.order.role;
         if !same {
-            self.ready = Instant::now() + self.loading;
+            self.ready_at = Instant::now() + self.loading;
         }
         self.order = order;
-        http::json(StatusCode::OK, &self.standing())
+        http::json(StatusCode::OK, &self.status())
     }
 }
--- a/crates/standins/src/engine/text.rs
+++ b/crates/standins/src/engine/text.rs
@@ -1,37 +1,37 @@
-//! The text of a fake engine: a function of the prompt alone, so that any engine can go on where
-//! another stopped, and a caller can tell whether a token is missing, doubled or another's.
+//! The text that a fake engine generates. It depends on the prompt alone, so that any engine can
+//! resume where another stopped, and a caller can detect missing, duplicate and foreign tokens.
 
 use crate::marker;
 
 /// The offset basis and prime of the 64-bit FNV-1a hash.
-const BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-const PRIME: u64 = 0x0000_0100_0000_01b3;
+const FNV_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Returns the token at `position` of the answer to `prompt`.
+/// Returns the token at `position` of the text generated for `prompt`.
 ///
-/// The first is `marker=X` with the prompt's marker (several joined by `+marker=`), the others are
-/// ` N.hhhh` with the position and a hash of prompt and position.
+/// The first token is `marker=X` with the prompt's marker; several markers are joined by
+/// `+marker=`. Each other token is ` N.hhhh`, with its position and a hash of prompt and position.
 pub fn token(prompt: &str, position: u64) -> String {
     if position == 0 {
         let markers = marker::find(prompt);
         let named: Vec<String> = markers.iter().map(|it| format!("marker={it}")).collect();
         return named.join("+");
     }
-    let hash = fnv(fnv(BASIS, prompt.as_bytes()), &position.to_le_bytes());
+    let hash = fnv(fnv(FNV_BASIS, prompt.as_bytes()), &position.to_le_bytes());
     format!(" {position}.{:04x}", hash as u16)
 }
 
-/// Returns the first `tokens` tokens of the answer to `prompt`, joined.
+/// Returns the first `tokens` tokens of the text generated for `prompt`, joined.
 pub fn whole(prompt: &str, tokens: u64) -> String {
     (0..tokens).map(|i| token(prompt, i)).collect()
 }
 
-/// Continues a 64-bit FNV-1a hash.
+/// Extends the 64-bit FNV-1a hash `start` by `bytes`.
 pub(super) fn fnv(start: u64, bytes: &[u8]) -> u64 {
-    bytes.iter().fold(start, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
+    bytes.iter().fold(start, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// Hashes a prefix that ends with `bytes`, from the hash of what stands before it.
-pub(super) fn extend(before: Option<u64>, bytes: &[u8]) -> u64 {
-    fnv(before.unwrap_or(BASIS), bytes)
+/// Hashes a prefix that ends with `bytes`; `hash` is the hash of the prefix before them, if any.
+pub(super) fn extend_hash(hash: Option<u64>, bytes: &[u8]) -> u64 {
+    fnv(hash.unwrap_or(FNV_BASIS), bytes)
 }
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a fake shows on command, by its handle or by `POST /faults`.
+//! Fault injection: the faults of a fake are set through its handle or by `POST /faults`.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -11,35 +11,35 @@
 use tokio::sync::watch;
 use types::Millis;
 
-use crate::http::{self, Door, Reply};
+use crate::http::{self, Availability, Reply};
 
-/// Which faults a fake shows. Shares run from 0 (never) to 1 (on every call).
+/// The faults of a fake. Shares are from 0 (no call) to 1 (every call).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// How much later each answer leaves than it could, in milliseconds.
+    /// The extra delay of late responses, in milliseconds.
     pub late: Millis,
-    /// The share of late answers.
+    /// The share of responses that are late.
     pub late_share: f64,
-    /// The share of answers that carry another call's id.
+    /// The share of responses whose header carries another call's id.
     pub swap_echo: f64,
-    /// The share of answers whose body belongs to the call before.
+    /// The share of responses whose body belongs to the previous call.
     pub swap_body: f64,
-    /// The share of answers whose body is cut.
+    /// The share of responses whose body breaks off.
     pub cut: f64,
-    /// The factor on every service time.
+    /// The factor by which service times are multiplied.
     pub slow: f64,
-    /// The share of calls that end in a 500.
+    /// The share of calls that are answered with status 500.
     pub error: f64,
-    /// The share of calls that never get an answer.
+    /// The share of calls that are never answered.
     pub hang: f64,
-    /// Says that it is leaving and takes no more calls.
+    /// Whether the fake reports that it is draining, and refuses calls.
     pub draining: bool,
-    /// Refuses new connections.
+    /// Whether new connections are refused.
     pub refuse: bool,
-    /// Refuses new connections and closes open ones, as if its process were killed.
+    /// Whether new connections are refused and open ones closed, as if the process were killed.
     pub down: bool,
-    /// How long all this lasts, in milliseconds; 0 is until the next command.
+    /// How long these faults last, in milliseconds; 0 means until the next change.
     pub span: Millis,
 }
 
@@ -62,9 +62,9 @@
     }
 }
 
-/// What befalls one call.
+/// The faults drawn for one call.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Fate {
+pub(crate) struct CallFaults {
     pub(crate) late: Duration,
     pub(crate) slow: f64,
     pub(crate) swap_echo: bool,
@@ -74,14 +74,14 @@
     pub(crate) hang: bool,
 }
 
-/// The switchboard of one fake's faults.
+/// Injects faults into one fake.
 #[derive(Clone, Debug)]
-pub struct Switch(Arc<Inner>);
+pub struct FaultSwitch(Arc<Inner>);
 
 #[derive(Debug)]
 struct Inner {
     state: Mutex<State>,
-    door: watch::Sender<Door>,
+    availability: watch::Sender<Availability>,
 }
 
 #[derive(Debug)]
@@ -91,14 +91,14 @@
     rng: StdRng,
 }
 
-impl Switch {
+impl FaultSwitch {
     pub(crate) fn new(seed: u64) -> Self {
         let rng = StdRng::seed_from_u64(seed);
         let state = Mutex::new(State { faults: Faults::default(), changes: 0, rng });
-        Self(Arc::new(Inner { state, door: watch::Sender::new(Door::Open) }))
+        Self(Arc::new(Inner { state, availability: watch::Sender::new(Availability::Accepting) }))
     }
 
-    /// Puts `faults` in force instead of those before. Must be called within a tokio runtime.
+    /// Replaces the faults in force. Must be called within a tokio runtime.
     pub fn set(&self, faults: Faults) {
         let span = Duration::from(faults.span);
         let change = self.replace(faults);
@@ -114,7 +114,7 @@
         });
     }
 
-    /// Ends all faults.
+    /// Removes all faults.
     pub fn clear(&self) {
         self.replace(Faults::default());
     }
@@ -124,26 +124,29 @@
         self.with(|it| it.faults.clone())
     }
 
-    pub(crate) fn door(&self) -> watch::Receiver<Door> {
-        self.0.door.subscribe()
+    /// Subscribes to the availability that the faults impose on the server.
+    pub(crate) fn availability(&self) -> watch::Receiver<Availability> {
+        self.0.availability.subscribe()
     }
 
+    /// Stops the server for good.
     pub(crate) fn stop(&self) {
-        self.0.door.send_replace(Door::Stopped);
+        self.0.availability.send_replace(Availability::Stopped);
     }
 
-    pub(crate) fn draw(&self) -> Fate {
+    /// Draws the faults of one call at random.
+    pub(crate) fn draw(&self) -> CallFaults {
         self.with(|it| {
             let faults = it.faults.clone();
-            let late = it.hits(faults.late_share) && faults.late.0 > 0;
-            Fate {
+            let late = it.chance(faults.late_share) && faults.late.0 > 0;
+            CallFaults {
                 late: if late { faults.late.into() } else { Duration::ZERO },
                 slow: faults.slow,
-                swap_echo: it.hits(faults.swap_echo),
-                swap_body: it.hits(faults.swap_body),
-                cut: it.hits(faults.cut),
-                error: it.hits(faults.error),
-                hang: it.hits(faults.hang),
+                swap_echo: it.chance(faults.swap_echo),
+                swap_body: it.chance(faults.swap_body),
+                cut: it.chance(faults.cut),
+                error: it.chance(faults.error),
+                hang: it.chance(faults.hang),
             }
         })
     }
@@ -159,21 +162,22 @@
         }
     }
 
+    /// Replaces the faults and returns the number of the change.
     fn replace(&self, faults: Faults) -> u64 {
-        let door = match (faults.down, faults.refuse) {
-            (true, _) => Door::Down,
-            (false, true) => Door::Refuse,
-            (false, false) => Door::Open,
+        let availability = match (faults.down, faults.refuse) {
+            (true, _) => Availability::Down,
+            (false, true) => Availability::Refusing,
+            (false, false) => Availability::Accepting,
         };
         let change = self.with(|it| {
             it.faults = faults;
             it.changes += 1;
             it.changes
         });
-        self.0.door.send_if_modified(|it| {
-            let changed = *it != door && *it != Door::Stopped;
+        self.0.availability.send_if_modified(|it| {
+            let changed = *it != availability && *it != Availability::Stopped;
             if changed {
-                *it = door;
+                *it = availability;
             }
             changed
         });
@@ -186,7 +190,8 @@
 }
 
 impl State {
-    fn hits(&mut self, share: f64) -> bool {
+    /// Returns `true` with the probability `share`.
+    fn chance(&mut self, share: f64) -> bool {
         share > 0.0 && self.rng.random::<f64>() < share
     }
 }
--- a/crates/standins/src/handle.rs
+++ b/crates/standins/src/handle.rs
@@ -1,26 +1,26 @@
-//! The handle of a running fake.
+//! The handle to a running fake.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use types::StepResult;
 
-use crate::faults::Switch;
+use crate::faults::FaultSwitch;
 use crate::http::{self, Handler};
 
-/// What every fake shows of itself.
+/// A fake with injectable faults and counters.
 pub trait Fake {
-    /// What it counts.
+    /// The counters of the fake.
     type Counts;
 
-    /// Returns the switch of its faults.
-    fn faults(&self) -> &Switch;
+    /// Returns the switch that injects faults.
+    fn faults(&self) -> &FaultSwitch;
 
-    /// Returns what it has counted.
+    /// Returns the current values of the counters.
     fn counts(&self) -> Self::Counts;
 }
 
-/// A running fake; dropped, it ends with all its connections.
+/// A handle to a running fake. Dropping it stops the fake and closes all connections.
 #[derive(Debug)]
 pub struct Handle<F: Fake> {
     address: SocketAddr,
@@ -30,30 +30,30 @@
 /// Starts to serve a fake.
 ///
 /// # Errors
-/// The address cannot be listened on.
+/// Returns an error if the fake can't listen on the address.
 pub(crate) async fn serve<F: Fake + Handler>(listen: SocketAddr, fake: F) -> StepResult<Handle<F>> {
     let fake = Arc::new(fake);
-    let address = http::serve(listen, fake.clone(), fake.faults().door()).await?;
+    let address = http::serve(listen, fake.clone(), fake.faults().availability()).await?;
     Ok(Handle { address, fake })
 }
 
 impl<F: Fake> Handle<F> {
-    /// Returns where it listens.
+    /// Returns the address on which the fake listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the switch of its faults.
-    pub fn faults(&self) -> &Switch {
+    /// Returns the switch that injects faults.
+    pub fn faults(&self) -> &FaultSwitch {
         self.fake.faults()
     }
 
-    /// Returns what it has counted.
+    /// Returns the current values of the counters.
     pub fn counts(&self) -> F::Counts {
         self.fake.counts()
     }
 
-    /// Ends it, with all its connections.
+    /// Stops the fake and closes all its connections.
     pub fn stop(&self) {
         self.fake.faults().stop();
     }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small fakes of the outside systems and a load driver, for tests and the demo.
+//! Fakes of the external systems and a load generator, for tests and the demo.
 //!
-//! Each fake has a `Config` whose every field has a default, and `spawn(config)`, which returns a
-//! running handle with `address()`, counts and `stop()`. [`run`] runs one as a process until a
-//! signal ends it.
+//! Each fake has a `Config`, with defaults for all settings but a proxy's target, and a function
+//! `spawn(config)`. This returns a handle with `address()`, `stop()` and, except for the platform,
+//! `counts()`. [`run`] runs a fake as a process until a signal ends it.
 
 pub mod engine;
 pub mod faults;
--- a/crates/standins/src/load/arrivals.rs
+++ b/crates/standins/src/load/arrivals.rs
@@ -1,4 +1,4 @@
-//! Poisson arrivals, drawn before the run: a slow answer does not slow them down.
+//! Poisson arrivals. They are drawn before the run, so that slow answers don't delay them.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 
 use super::scenario::{Class, Scenario};
 
-/// The shortest mean time between arrivals that is drawn, in seconds.
-const SHORTEST: f64 = 1e-6;
+/// The minimum mean time between arrivals, in seconds.
+const MIN_MEAN_SECS: f64 = 1e-6;
 
 /// One arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Arrival {
-    /// When, from the start.
+    /// The time since the start of the run.
     pub(super) at: Duration,
-    /// The number of its class.
+    /// The index of its class in the scenario.
     pub(super) class: usize,
 }
 
-/// Draws all arrivals of a scenario, in order of time.
+/// Draws all arrivals of a scenario, ordered by time.
 pub(super) fn schedule(scenario: &Scenario) -> Vec<Arrival> {
     let mut all = Vec::new();
     for (number, class) in scenario.classes.iter().enumerate() {
@@ -31,15 +31,16 @@
     all
 }
 
-/// Draws at the class's highest rate and thins to the rate of the moment.
+/// Draws arrivals at the highest rate of the class, and keeps each with the probability that gives
+/// the rate of its time (thinning).
 fn times(class: &Class, length: Duration, rng: &mut StdRng) -> Vec<Duration> {
     let bursts = class.bursts.iter().map(|it| it.rate.0);
-    let most = bursts.fold(class.rate.0, f64::max);
+    let max_rate = bursts.fold(class.rate.0, f64::max);
     let mut times = Vec::new();
-    if most <= 0.0 {
+    if max_rate <= 0.0 {
         return times;
     }
-    let mean = (1.0 / most).max(SHORTEST);
+    let mean = (1.0 / max_rate).max(MIN_MEAN_SECS);
     let mut at = 0.0;
     loop {
         let share: f64 = rng.random();
@@ -48,7 +49,7 @@
             return times;
         }
         let now = Duration::from_secs_f64(at);
-        if rng.random::<f64>() * most < class.rate_at(now) {
+        if rng.random::<f64>() * max_rate < class.rate_at(now) {
             times.push(now);
         }
     }
--- a/crates/standins/src/load/balancer.rs
+++ b/crates/standins/src/load/balancer.rs
@@ -1,4 +1,4 @@
-//! A small balancer: a random choice among entries that are ready.
+//! A load balancer that chooses a ready entry at random.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,13 +6,14 @@
 
 use rand::RngExt;
 
-/// How long an entry is skipped after it refused a connection or said that it is not ready.
-const SKIP: Duration = Duration::from_millis(500);
+/// How long an entry is skipped after it refused a connection or was not ready.
+const SKIP_TIME: Duration = Duration::from_millis(500);
 
-/// The entries, with the time until which each is skipped.
+/// Balances requests over the entries.
 #[derive(Debug)]
 pub(super) struct Balancer {
     start: Instant,
+    /// Each entry with the time until which it is skipped, in milliseconds since `start`.
     entries: Vec<(SocketAddr, AtomicU64)>,
 }
 
@@ -22,7 +23,7 @@
         Self { start: Instant::now(), entries }
     }
 
-    /// Chooses an entry; among all of them where none is ready.
+    /// Chooses an entry that is not skipped; if all are skipped, any entry.
     pub(super) fn choose(&self) -> SocketAddr {
         let now = self.start.elapsed().as_millis() as u64;
         let ready = |it: &&(SocketAddr, AtomicU64)| it.1.load(Ordering::Relaxed) <= now;
@@ -34,14 +35,15 @@
         ready[rng.random_range(0..ready.len())].0
     }
 
-    /// Skips an entry for a while.
+    /// Skips an entry for [`SKIP_TIME`].
     pub(super) fn skip(&self, entry: SocketAddr) {
-        let until = (self.start.elapsed() + SKIP).as_millis() as u64;
+        let until = (self.start.elapsed() + SKIP_TIME).as_millis() as u64;
         if let Some((_, time)) = self.entries.iter().find(|it| it.0 == entry) {
             time.store(until, Ordering::Relaxed);
         }
     }
 
+    /// Returns the addresses of all entries.
     pub(super) fn entries(&self) -> impl Iterator<Item = SocketAddr> {
         self.entries.iter().map(|it| it.0)
     }
--- a/crates/standins/src/load/baseline.rs
+++ b/crates/standins/src/load/baseline.rs
@@ -1,4 +1,5 @@
-//! The plain policy: the tool itself runs the stages, round robin, with retries at once.
+//! The baseline policy: the load tool itself calls the stages' upstreams, round robin and with
+//! immediate retries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,64 +13,70 @@
 use types::{CallId, Outcome, PipelineName, PoolKind, StepError, StepResult};
 
 use super::client::{self, Http};
-use super::scenario::{Baseline, Class, Hop};
-use super::{Ask, Attempt, Path};
+use super::scenario::{Baseline, BaselineStage, Class};
+use super::{AttemptResult, CallerRequest, Transport};
 
-/// The path straight to the upstreams.
+/// Sends requests directly to the upstreams.
 #[derive(Debug)]
-pub struct Direct {
+pub struct DirectTransport {
     http: Http,
     baseline: Baseline,
-    turns: BTreeMap<PipelineName, Vec<AtomicUsize>>,
+    /// The number of calls so far to each stage of a pipeline, for the round robin.
+    call_counts: BTreeMap<PipelineName, Vec<AtomicUsize>>,
 }
 
-impl Direct {
-    /// Prepares the path.
+impl DirectTransport {
+    /// Creates the transport.
     ///
     /// # Errors
-    /// A class uses a pipeline that the baseline doesn't have, or a stage has no upstreams.
+    /// Returns an error if a class uses a pipeline that the baseline doesn't have, or if a stage has
+    /// no upstreams.
     pub fn open(baseline: &Baseline, classes: &[Class]) -> StepResult<Self> {
-        let known = |it: &&Class| !baseline.pipelines.contains_key(&it.pipeline);
-        if let Some(class) = classes.iter().find(known) {
+        let unknown = |it: &&Class| !baseline.pipelines.contains_key(&it.pipeline);
+        if let Some(class) = classes.iter().find(unknown) {
             return Err(StepError::new("open baseline", "unknown pipeline").at(&class.pipeline));
         }
-        let hops = baseline.pipelines.values().flatten();
-        if let Some(hop) = hops.clone().find(|it| it.upstreams.is_empty()) {
-            return Err(StepError::new("open baseline", "no upstreams").at(&hop.name));
+        let stages = baseline.pipelines.values().flatten();
+        if let Some(stage) = stages.clone().find(|it| it.upstreams.is_empty()) {
+            return Err(StepError::new("open baseline", "no upstreams").at(&stage.name));
         }
-        let turns = baseline.pipelines.iter();
-        let turns = turns
-            .map(|(name, hops)| (name.clone(), hops.iter().map(|_| AtomicUsize::new(0)).collect()))
+        let call_counts = baseline.pipelines.iter();
+        let call_counts = call_counts
+            .map(|(name, stages)| {
+                (name.clone(), stages.iter().map(|_| AtomicUsize::new(0)).collect())
+            })
             .collect();
-        Ok(Self { http: client::http(), baseline: baseline.clone(), turns })
+        Ok(Self { http: client::http(), baseline: baseline.clone(), call_counts })
     }
 
-    async fn pipeline(&self, ask: &Ask) -> Option<Value> {
-        let hops = self.baseline.pipelines.get(&ask.class.pipeline)?;
-        let turns = self.turns.get(&ask.class.pipeline)?;
+    /// Runs a pipeline. Returns the last stage's output, or `None` if a stage failed.
+    async fn run_pipeline(&self, request: &CallerRequest) -> Option<Value> {
+        let stages = self.baseline.pipelines.get(&request.class.pipeline)?;
+        let call_counts = self.call_counts.get(&request.class.pipeline)?;
         let mut previous = Value::Null;
-        for (hop, turn) in hops.iter().zip(turns) {
-            previous = self.stage(ask, hop, turn, &previous).await?;
+        for (stage, call_count) in stages.iter().zip(call_counts) {
+            previous = self.run_stage(request, stage, call_count, &previous).await?;
         }
         Some(previous)
     }
 
-    /// Tries a stage; one that must not be repeated is tried once.
-    async fn stage(
+    /// Runs a stage with up to the configured number of attempts. A plain service's call must not be
+    /// repeated, so it gets one attempt.
+    async fn run_stage(
         &self,
-        ask: &Ask,
-        hop: &Hop,
-        turn: &AtomicUsize,
+        request: &CallerRequest,
+        stage: &BaselineStage,
+        call_count: &AtomicUsize,
         previous: &Value,
     ) -> Option<Value> {
-        let tries = if hop.kind == PoolKind::Service { 1 } else { self.baseline.attempts };
-        for _ in 0..tries {
-            let next = turn.fetch_add(1, Ordering::Relaxed) % hop.upstreams.len();
+        let attempts = if stage.kind == PoolKind::Service { 1 } else { self.baseline.attempts };
+        for _ in 0..attempts {
+            let next = call_count.fetch_add(1, Ordering::Relaxed) % stage.upstreams.len();
             let timeout = match Duration::from(self.baseline.timeout) {
-                Duration::ZERO => ask.budget,
+                Duration::ZERO => request.budget,
                 timeout => timeout,
             };
-            let call = self.call(ask, hop, hop.upstreams[next], previous);
+            let call = self.call_upstream(request, stage, stage.upstreams[next], previous);
             if let Ok(Some(output)) = tokio::time::timeout(timeout, call).await {
                 return Some(output);
             }
@@ -77,77 +84,87 @@
         None
     }
 
-    async fn call(
+    /// Calls an upstream once. Returns its output, or `None` if the call failed.
+    async fn call_upstream(
         &self,
-        ask: &Ask,
-        hop: &Hop,
+        request: &CallerRequest,
+        stage: &BaselineStage,
         upstream: SocketAddr,
         previous: &Value,
     ) -> Option<Value> {
         let call = CallId::random().to_string();
-        let (path, body) = match hop.kind {
-            PoolKind::Generate => ("/v1/completions", completion(ask, &call, previous)),
-            PoolKind::Service => (hop.path.as_deref()?, stage(ask, hop, &call, previous)),
-            _ => ("/v1/stage", stage(ask, hop, &call, previous)),
+        let (path, body) = match stage.kind {
+            PoolKind::Generate => ("/v1/completions", completion_body(request, &call, previous)),
+            PoolKind::Service => {
+                (stage.path.as_deref()?, stage_body(request, stage, &call, previous))
+            }
+            _ => ("/v1/stage", stage_body(request, stage, &call, previous)),
         };
-        let mut request = Request::post(format!("http://{upstream}{path}"))
+        let mut http_request = Request::post(format!("http://{upstream}{path}"))
             .header("x-request-id", &call)
             .header("content-type", "application/json");
-        if ask.class.once {
-            request = request.header("idempotency-key", &ask.marker);
+        if request.class.once {
+            http_request = http_request.header("idempotency-key", &request.marker);
         }
-        let request = request.body(Full::new(Bytes::from(body.to_string()))).ok()?;
-        let response = self.http.request(request).await.ok()?;
+        let http_request = http_request.body(Full::new(Bytes::from(body.to_string()))).ok()?;
+        let response = self.http.request(http_request).await.ok()?;
         if !response.status().is_success() {
             return None;
         }
         let body = response.into_body().collect().await.ok()?.to_bytes();
-        match hop.kind {
-            PoolKind::Generate => generated(&body).map(Value::String),
+        match stage.kind {
+            PoolKind::Generate => join_tokens(&body).map(Value::String),
             _ => serde_json::from_slice::<Value>(&body).ok()?.get("output").cloned(),
         }
     }
 }
 
-impl Path for Direct {
-    async fn send(&self, ask: Ask) -> Attempt {
+impl Transport for DirectTransport {
+    async fn send(&self, request: CallerRequest) -> AttemptResult {
         let start = Instant::now();
-        match tokio::time::timeout(ask.budget, self.pipeline(&ask)).await {
-            Ok(Some(output)) => Attempt::Complete(output),
-            Ok(None) if start.elapsed() < ask.budget => {
-                Attempt::Other { outcome: Outcome::Failed, status: 502, retry: None }
+        match tokio::time::timeout(request.budget, self.run_pipeline(&request)).await {
+            Ok(Some(output)) => AttemptResult::Complete(output),
+            Ok(None) if start.elapsed() < request.budget => {
+                AttemptResult::Other { outcome: Outcome::Failed, status: 502, retry_after: None }
             }
-            _ => Attempt::Other { outcome: Outcome::Failed, status: 504, retry: None },
+            _ => AttemptResult::Other { outcome: Outcome::Failed, status: 504, retry_after: None },
         }
     }
 }
 
-fn stage(ask: &Ask, hop: &Hop, call: &str, previous: &Value) -> Value {
+/// Builds the body of a call to a stage or a plain service.
+fn stage_body(
+    request: &CallerRequest,
+    stage: &BaselineStage,
+    call: &str,
+    previous: &Value,
+) -> Value {
     json!({
-        "call": call, "request": call, "stage": hop.name, "priority": ask.class.priority,
-        "deadline_ms": ask.budget.as_millis() as u64, "input": client::input(ask),
+        "call": call, "request": call, "stage": stage.name, "priority": request.class.priority,
+        "deadline_ms": request.budget.as_millis() as u64, "input": client::input(request),
         "previous": previous,
     })
 }
 
-fn completion(ask: &Ask, call: &str, previous: &Value) -> Value {
-    let prompt = json!({"input": client::input(ask), "previous": previous}).to_string();
+/// Builds the body of a call to an engine.
+fn completion_body(request: &CallerRequest, call: &str, previous: &Value) -> Value {
+    let prompt = json!({"input": client::input(request), "previous": previous}).to_string();
     json!({
-        "prompt": prompt, "max_tokens": ask.class.tokens, "stream": true,
-        "priority": ask.class.priority, "request_id": call,
+        "prompt": prompt, "max_tokens": request.class.tokens, "stream": true,
+        "priority": request.class.priority, "request_id": call,
     })
 }
 
-/// Joins the tokens of a stream; `None` if it is not whole.
-fn generated(body: &[u8]) -> Option<String> {
+/// Joins the tokens of a stream. Returns `None` if the stream is incomplete.
+fn join_tokens(body: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(body).ok()?;
-    let mut whole = String::new();
+    let mut joined = String::new();
     for event in text.split("\n\n").filter_map(|it| it.strip_prefix("data: ")) {
         if event == "[DONE]" {
-            return Some(whole);
+            return Some(joined);
         }
         let event: Value = serde_json::from_str(event).ok()?;
-        whole.push_str(event.get("choices")?.get(0)?.get("text")?.as_str()?);
+        joined.push_str(event.get("choices")?.get(0)?.get("text")?.as_str()?);
     }
     None
 }
--- a/crates/standins/src/load/caller.rs
+++ b/crates/standins/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: it sends its request, and again, until it has an answer.
+//! A caller sends its request, and resends it until it gets a final answer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,76 +6,85 @@
 use serde_json::Value;
 use types::Outcome;
 
-use super::tally::{Fate, Record};
+use super::record::{Record, RequestResult};
 use super::verify::{Verdict, verify};
-use super::{Ask, Path};
+use super::{CallerRequest, Transport};
 
-/// What one sending of a request came to.
+/// The result of sending a request once.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Attempt {
-    /// A whole answer that says `complete`.
+pub enum AttemptResult {
+    /// The answer arrived in full and its outcome is `complete`.
     Complete(Value),
-    /// Any other whole answer.
+    /// An answer with another outcome arrived in full.
     Other {
-        /// What it says of the request.
+        /// The outcome of the request.
         outcome: Outcome,
         /// The HTTP status.
         status: u16,
-        /// When to come back, where it says.
-        retry: Option<Duration>,
+        /// How long to wait before a resend, if the answer says so.
+        retry_after: Option<Duration>,
     },
-    /// The connection was refused: nothing was sent.
+    /// The connection was refused; nothing was sent.
     Refused,
-    /// No whole answer came.
+    /// No answer arrived in full.
     Broken,
 }
 
 /// What a caller does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// It has its answer, or knows that there will be none.
-    Done(Fate),
-    /// It sends again, after this long.
+pub enum CallerAction {
+    /// The caller stops: it has a final answer, or knows that there will be none.
+    Done(RequestResult),
+    /// The caller resends the request after this time.
     Resend(Duration),
 }
 
-/// The account of one caller.
+/// The counters of one caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Account {
-    /// How often it sent.
+pub struct CallerStats {
+    /// The attempts.
     pub attempts: u32,
-    /// Refusals before anything ran.
+    /// The answers with the outcome `not-run`.
     pub refusals: u32,
-    /// Answers that say that it may have run.
+    /// The answers with the outcome `unknown`.
     pub unknown: u32,
-    /// Answers that say that it failed.
+    /// The answers with the outcome `failed`.
     pub failed: u32,
-    /// Sendings without a whole answer.
+    /// The attempts whose answer didn't arrive in full.
     pub broken: u32,
 }
 
-impl Account {
-    /// Counts an attempt and says what to do. `late` tells whether the deadline has passed.
-    pub fn take(&mut self, ask: &Ask, attempt: &Attempt, late: bool, pause: Duration) -> Step {
+impl CallerStats {
+    /// Counts an attempt and returns what the caller does next. `late` is whether the deadline has
+    /// passed; `pause` is the time before a resend if the answer doesn't set one.
+    pub fn record(
+        &mut self,
+        request: &CallerRequest,
+        attempt: &AttemptResult,
+        late: bool,
+        pause: Duration,
+    ) -> CallerAction {
         self.attempts += 1;
         match attempt {
-            Attempt::Complete(output) => Step::Done(settle(ask, output, late)),
-            Attempt::Refused => Step::Resend(pause),
-            Attempt::Broken => {
+            AttemptResult::Complete(output) => {
+                CallerAction::Done(check_output(request, output, late))
+            }
+            AttemptResult::Refused => CallerAction::Resend(pause),
+            AttemptResult::Broken => {
                 self.broken += 1;
-                Step::Resend(pause)
+                CallerAction::Resend(pause)
             }
-            Attempt::Other { outcome, status, retry } => {
-                self.count(*outcome);
-                if is_final(ask, *outcome, *status) {
-                    return Step::Done(Fate::Given(*outcome));
+            AttemptResult::Other { outcome, status, retry_after } => {
+                self.count_outcome(*outcome);
+                if is_final(request, *outcome, *status) {
+                    return CallerAction::Done(RequestResult::Other(*outcome));
                 }
-                Step::Resend(retry.unwrap_or(pause))
+                CallerAction::Resend(retry_after.unwrap_or(pause))
             }
         }
     }
 
-    fn count(&mut self, outcome: Outcome) {
+    fn count_outcome(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::NotRun => self.refusals += 1,
             Outcome::Unknown => self.unknown += 1,
@@ -84,58 +93,65 @@
     }
 }
 
-fn settle(ask: &Ask, output: &Value, late: bool) -> Fate {
-    match (verify(output, &ask.marker, ask.class.tokens), late) {
-        (Verdict::Own, false) => Fate::InTime,
-        (Verdict::Own, true) => Fate::Late,
-        (Verdict::Crossed, _) => Fate::Crossed,
-        (Verdict::Broken, _) => Fate::Incomplete,
+/// Checks a complete answer.
+fn check_output(request: &CallerRequest, output: &Value, late: bool) -> RequestResult {
+    match (verify(output, &request.marker, request.class.tokens), late) {
+        (Verdict::Own, false) => RequestResult::InTime,
+        (Verdict::Own, true) => RequestResult::Late,
+        (Verdict::Crossed, _) => RequestResult::Crossed,
+        (Verdict::Incomplete, _) => RequestResult::Incomplete,
     }
 }
 
-/// Tells whether a resend can bring nothing more. A refusal for what the request is (4xx but 408,
-/// 409 and 429) stays the same; of a request that runs at most once, `failed` and a 504 are final.
-fn is_final(ask: &Ask, outcome: Outcome, status: u16) -> bool {
+/// Returns whether resending the request is useless. A refusal that is due to the request itself
+/// (4xx except 408, 409 and 429) stays the same. For a request that runs at most once, the outcome
+/// `failed` and the status 504 are final too.
+fn is_final(request: &CallerRequest, outcome: Outcome, status: u16) -> bool {
     match outcome {
         Outcome::NotRun => matches!(status, 400..=407 | 410..=428),
-        Outcome::Unknown => ask.class.once && status == 504,
-        Outcome::Failed => ask.class.once,
+        Outcome::Unknown => request.class.once && status == 504,
+        Outcome::Failed => request.class.once,
         Outcome::Complete => true,
     }
 }
 
-/// A caller at work.
+/// A caller with one request.
 #[derive(Debug)]
 pub(super) struct Caller<P> {
-    pub(super) path: Arc<P>,
-    /// When its request was to arrive.
+    pub(super) transport: Arc<P>,
+    /// The intended arrival of its request.
     pub(super) due: Instant,
-    /// When it gives up, with the whole run.
+    /// The end of the run, when it gives up.
     pub(super) end: Instant,
-    /// How long it waits where no answer tells.
+    /// How long it waits before a resend if the answer doesn't say.
     pub(super) pause: Duration,
 }
 
-impl<P: Path> Caller<P> {
-    /// Sends until it is answered. Past its deadline it asks with a fresh one: it never gives up.
-    pub(super) async fn run(self, mut ask: Ask) -> Record {
-        let whole = Duration::from(ask.class.deadline);
-        let deadline = self.due + whole;
-        let mut account = Account::default();
+impl<P: Transport> Caller<P> {
+    /// Sends the request until it gets a final answer or the run ends. After its deadline it
+    /// continues with a new one.
+    pub(super) async fn run(self, mut request: CallerRequest) -> Record {
+        let allowed = Duration::from(request.class.deadline);
+        let deadline = self.due + allowed;
+        let mut stats = CallerStats::default();
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
-            ask.budget = if left.is_zero() { whole } else { left };
+            request.budget = if left.is_zero() { allowed } else { left };
             let wait = self.end.saturating_duration_since(Instant::now());
-            let Ok(attempt) = tokio::time::timeout(wait, self.path.send(ask.clone())).await else {
-                return Record::new(Fate::Unanswered, self.due.elapsed(), account);
+            let Ok(attempt) =
+                tokio::time::timeout(wait, self.transport.send(request.clone())).await
+            else {
+                return Record::new(RequestResult::Unanswered, self.due.elapsed(), stats);
             };
             let late = Instant::now() > deadline;
-            match account.take(&ask, &attempt, late, self.pause) {
-                Step::Done(fate) => return Record::new(fate, self.due.elapsed(), account),
-                Step::Resend(after) if Instant::now() + after >= self.end => {
-                    return Record::new(Fate::Unanswered, self.due.elapsed(), account);
+            match stats.record(&request, &attempt, late, self.pause) {
+                CallerAction::Done(result) => {
+                    return Record::new(result, self.due.elapsed(), stats);
+                }
+                CallerAction::Resend(after) if Instant::now() + after >= self.end => {
+                    return Record::new(RequestResult::Unanswered, self.due.elapsed(), stats);
                 }
-                Step::Resend(after) => tokio::time::sleep(after).await,
+                CallerAction::Resend(after) => tokio::time::sleep(after).await,
             }
         }
     }
--- a/crates/standins/src/load/client.rs
+++ b/crates/standins/src/load/client.rs
@@ -1,4 +1,4 @@
-//! Sends requests to the entries.
+//! Sends requests to the entries and reads their answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,18 +16,18 @@
 use types::{Outcome, StepError, StepResult};
 
 use super::balancer::Balancer;
-use super::{Ask, Attempt, Path};
+use super::{AttemptResult, CallerRequest, Transport};
 
-/// How much longer than its deadline a caller waits for an answer.
+/// How long a caller waits for an answer after its deadline.
 const GRACE: Duration = Duration::from_millis(500);
 
-/// How often the balancer asks the entries whether they are ready.
-const PROBE: Duration = Duration::from_millis(200);
+/// The interval between readiness probes of the entries, and the timeout of one probe.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The client of the load tool.
+/// The HTTP client of the load tool.
 pub(super) type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// Builds a client that keeps connections.
+/// Builds a client that keeps its connections open.
 pub(super) fn http() -> Http {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
@@ -35,19 +35,19 @@
     Client::builder(TokioExecutor::new()).pool_timer(TokioTimer::new()).build(connector)
 }
 
-/// The path through the entries.
+/// Sends requests through the entries.
 #[derive(Debug)]
-pub struct Entries {
+pub struct EntryTransport {
     http: Http,
     balancer: Arc<Balancer>,
     probe: JoinHandle<()>,
 }
 
-impl Entries {
-    /// Starts to watch the entries.
+impl EntryTransport {
+    /// Creates the transport and starts to probe the entries.
     ///
     /// # Errors
-    /// There are none.
+    /// Returns an error if `entries` is empty.
     pub fn open(entries: &[SocketAddr]) -> StepResult<Self> {
         if entries.is_empty() {
             return Err(StepError::new("open entries", "the scenario names no entries"));
@@ -57,89 +57,94 @@
         Ok(Self { http, balancer, probe })
     }
 
-    async fn ask(&self, entry: SocketAddr, ask: &Ask) -> Attempt {
-        let response = match self.http.request(request(entry, ask)).await {
+    async fn send_to(&self, entry: SocketAddr, request: &CallerRequest) -> AttemptResult {
+        let response = match self.http.request(build_request(entry, request)).await {
             Ok(response) => response,
             Err(e) if e.is_connect() => {
                 self.balancer.skip(entry);
-                return Attempt::Refused;
+                return AttemptResult::Refused;
             }
-            Err(_) => return Attempt::Broken,
+            Err(_) => return AttemptResult::Broken,
         };
-        read(response).await.unwrap_or(Attempt::Broken)
+        read_answer(response).await.unwrap_or(AttemptResult::Broken)
     }
 }
 
-impl Drop for Entries {
+impl Drop for EntryTransport {
     fn drop(&mut self) {
         self.probe.abort();
     }
 }
 
-impl Path for Entries {
-    async fn send(&self, ask: Ask) -> Attempt {
+impl Transport for EntryTransport {
+    async fn send(&self, request: CallerRequest) -> AttemptResult {
         let entry = self.balancer.choose();
-        let wait = ask.budget + GRACE;
-        tokio::time::timeout(wait, self.ask(entry, &ask)).await.unwrap_or(Attempt::Broken)
+        let timeout = request.budget + GRACE;
+        tokio::time::timeout(timeout, self.send_to(entry, &request))
+            .await
+            .unwrap_or(AttemptResult::Broken)
     }
 }
 
+/// Probes the entries forever; the balancer skips those that are not ready.
 async fn probe(http: Http, balancer: Arc<Balancer>) {
     loop {
         for entry in balancer.entries() {
-            let asked = http.get(format!("http://{entry}/readyz").parse().unwrap_or_default());
-            let answer = tokio::time::timeout(PROBE, asked).await;
+            let response = http.get(format!("http://{entry}/readyz").parse().unwrap_or_default());
+            let answer = tokio::time::timeout(PROBE_INTERVAL, response).await;
             if !matches!(answer, Ok(Ok(it)) if it.status().is_success()) {
                 balancer.skip(entry);
             }
         }
-        tokio::time::sleep(PROBE).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
     }
 }
 
-/// The input of a request: its marker first, then padding.
-pub(super) fn input(ask: &Ask) -> Value {
-    json!({"marker": ask.marker, "text": "lot ".repeat(ask.class.padding / 4)})
+/// Builds the input of a request: its marker, then padding.
+pub(super) fn input(request: &CallerRequest) -> Value {
+    json!({"marker": request.marker, "text": "lot ".repeat(request.class.padding / 4)})
 }
 
-fn request(entry: SocketAddr, ask: &Ask) -> Request<Full<Bytes>> {
-    let mut body = json!({"input": input(ask)});
-    if ask.class.tokens > 0 {
-        body["max_tokens"] = ask.class.tokens.into();
+fn build_request(entry: SocketAddr, request: &CallerRequest) -> Request<Full<Bytes>> {
+    let mut body = json!({"input": input(request)});
+    if request.class.tokens > 0 {
+        body["max_tokens"] = request.class.tokens.into();
     }
-    let budget = (ask.budget.as_millis() as u64).max(1);
-    let mut request = Request::post(format!("http://{entry}/v1/pipelines/{}", ask.class.pipeline))
-        .header("authorization", format!("Bearer {}", ask.class.key))
-        .header("content-type", "application/json")
-        .header("mothplank-deadline-ms", budget);
-    if ask.class.once {
-        request = request.header("idempotency-key", &ask.marker);
+    let budget = (request.budget.as_millis() as u64).max(1);
+    let mut http_request =
+        Request::post(format!("http://{entry}/v1/pipelines/{}", request.class.pipeline))
+            .header("authorization", format!("Bearer {}", request.class.key))
+            .header("content-type", "application/json")
+            .header("mothplank-deadline-ms", budget);
+    if request.class.once {
+        http_request = http_request.header("idempotency-key", &request.marker);
     }
-    if ask.class.stream {
-        request = request.header("accept", "text/event-stream");
+    if request.class.stream {
+        http_request = http_request.header("accept", "text/event-stream");
     }
     let body = Full::new(Bytes::from(body.to_string()));
-    request.body(body).unwrap_or_default()
+    http_request.body(body).unwrap_or_default()
 }
 
-async fn read(response: Response<Incoming>) -> Option<Attempt> {
+/// Reads an answer. Returns `None` if it didn't arrive in full or can't be parsed.
+async fn read_answer(response: Response<Incoming>) -> Option<AttemptResult> {
     let status = response.status().as_u16();
     let header = |name| response.headers().get(name)?.to_str().ok().map(str::to_owned);
     let seconds = header("retry-after").and_then(|it| it.parse().ok()).map(Duration::from_secs);
     let streamed = header("content-type").is_some_and(|it| it.starts_with("text/event-stream"));
     let body = response.into_body().collect().await.ok()?.to_bytes();
-    let answer = if streamed { last_event(&body)? } else { serde_json::from_slice(&body).ok()? };
-    let outcome = outcome(answer.get("outcome")?.as_str()?)?;
+    let answer = if streamed { final_event(&body)? } else { serde_json::from_slice(&body).ok()? };
+    let outcome = parse_outcome(answer.get("outcome")?.as_str()?)?;
     if outcome == Outcome::Complete {
-        return Some(Attempt::Complete(answer.get("output")?.clone()));
+        return Some(AttemptResult::Complete(answer.get("output")?.clone()));
     }
     let status = answer.get("status").and_then(Value::as_u64).map_or(status, |it| it as u16);
     let exact = answer.get("retry_after_ms").and_then(Value::as_u64).map(Duration::from_millis);
-    Some(Attempt::Other { outcome, status, retry: exact.or(seconds) })
+    Some(AttemptResult::Other { outcome, status, retry_after: exact.or(seconds) })
 }
 
-/// Returns the data of the event that ends a stream; one without it is not whole.
-fn last_event(body: &[u8]) -> Option<Value> {
+/// Returns the data of the event that ends a stream, or `None` if the stream ends without one.
+fn final_event(body: &[u8]) -> Option<Value> {
     let text = std::str::from_utf8(body).ok()?;
     let event = text.trim_end().rsplit("\n\n").next()?;
     let mut kind = None;
@@ -154,6 +159,6 @@
     data.filter(|_| matches!(kind, Some("end" | "error")))
 }
 
-fn outcome(word: &str) -> Option<Outcome> {
+fn parse_outcome(word: &str) -> Option<Outcome> {
     Outcome::ALL.into_iter().find(|it| it.as_str() == word)
 }
--- a/crates/standins/src/load/mod.rs
+++ b/crates/standins/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! The load tool: open-loop arrivals, callers that resend until they are answered, and an account
-//! of what each of them got.
+//! A load generator: requests arrive in an open loop, callers resend them until they get a final
+//! answer, and a report shows the results.
 //!
 //! `mothplank load SCENARIO` reads a file with [`Scenario::read`], calls [`run`], prints the
-//! [`Report`] (it has a `Display`) and writes the files of [`Report::write`].
+//! [`Report`] and writes the files of [`Report::write`].
 
 mod arrivals;
 mod balancer;
@@ -10,9 +10,9 @@
 mod caller;
 mod client;
 mod plot;
+mod record;
 mod report;
 mod scenario;
-mod tally;
 mod verify;
 
 use std::sync::Arc;
@@ -21,50 +21,52 @@
 use tokio::task::JoinSet;
 use types::StepResult;
 
-pub use baseline::Direct;
-pub use caller::{Account, Attempt, Step};
-pub use client::Entries;
+pub use baseline::DirectTransport;
+pub use caller::{AttemptResult, CallerAction, CallerStats};
+pub use client::EntryTransport;
+pub use record::{Record, RequestResult};
 pub use report::{ClassReport, Report};
-pub use scenario::{Baseline, Burst, Class, Hop, Policy, Scenario};
-pub use tally::{Fate, Record};
+pub use scenario::{Baseline, BaselineStage, Burst, Class, Policy, Scenario};
 pub use verify::{Verdict, verify};
 
-/// One request as a path sees it.
+/// A request as a transport sees it.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Its class.
+pub struct CallerRequest {
+    /// The class of the request.
     pub class: Arc<Class>,
-    /// Its marker, unique in the run.
+    /// The marker, unique in the run.
     pub marker: String,
-    /// What is left of its deadline.
+    /// The time left until the deadline.
     pub budget: Duration,
 }
 
-/// A way to send a request: through the entries, or straight to the upstreams.
-pub trait Path: Send + Sync + 'static {
+/// Sends requests: through the entries or directly to the upstreams.
+pub trait Transport: Send + Sync + 'static {
     /// Sends a request once.
-    fn send(&self, ask: Ask) -> impl Future<Output = Attempt> + Send;
+    fn send(&self, ask: CallerRequest) -> impl Future<Output = AttemptResult> + Send;
 }
 
-/// Runs a scenario under the policy that it names.
+/// Runs a scenario under its policy.
 ///
 /// # Errors
-/// The scenario names no entries, or a pipeline that its baseline doesn't have.
+/// Returns an error if the scenario names no entries, or if its baseline lacks a pipeline or a
+/// stage's upstreams.
 pub async fn run(scenario: &Scenario) -> StepResult<Report> {
     match &scenario.policy {
-        Policy::Mothplank => Ok(drive(scenario, Entries::open(&scenario.entries)?).await),
+        Policy::Mothplank => Ok(drive(scenario, EntryTransport::open(&scenario.entries)?).await),
         Policy::Baseline(baseline) => {
-            let direct = Direct::open(baseline, &scenario.classes)?;
+            let direct = DirectTransport::open(baseline, &scenario.classes)?;
             Ok(drive(scenario, direct).await)
         }
     }
 }
 
-/// Runs a scenario over a path.
-pub async fn drive<P: Path>(scenario: &Scenario, path: P) -> Report {
+/// Runs a scenario over a transport. Each request is sent at its arrival, no matter how long
+/// earlier answers take.
+pub async fn drive<P: Transport>(scenario: &Scenario, transport: P) -> Report {
     let classes: Vec<Arc<Class>> = scenario.classes.iter().cloned().map(Arc::new).collect();
     let schedule = arrivals::schedule(scenario);
-    let path = Arc::new(path);
+    let transport = Arc::new(transport);
     let start = Instant::now();
     let end = start + scenario.length() + scenario.drain.into();
     let mut callers = JoinSet::new();
@@ -73,10 +75,12 @@
         let due = start + arrival.at;
         tokio::time::sleep_until(due.into()).await;
         let marker = format!("{}-{number}", scenario.seed);
-        let ask = Ask { class: classes[arrival.class].clone(), marker, budget: Duration::ZERO };
-        let caller = caller::Caller { path: path.clone(), due, end, pause: scenario.pause.into() };
+        let request =
+            CallerRequest { class: classes[arrival.class].clone(), marker, budget: Duration::ZERO };
+        let caller =
+            caller::Caller { transport: transport.clone(), due, end, pause: scenario.pause.into() };
         let (at, class) = (arrival.at, arrival.class);
-        callers.spawn(async move { Record { at, class, ..caller.run(ask).await } });
+        callers.spawn(async move { Record { at, class, ..caller.run(request).await } });
         while let Some(Ok(record)) = callers.try_join_next() {
             records.push(record);
         }
--- a/crates/standins/src/load/plot.rs
+++ b/crates/standins/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! Draws a run: attainment of each class by second of arrival.
+//! Plots the attainment of each class by second of arrival.
 
 use std::path::Path;
 
@@ -7,19 +7,20 @@
 
 use super::report::Report;
 
-/// The size of a drawing, in pixels.
-const SIZE: (u32, u32) = (900, 420);
+/// The width and height of a plot, in pixels.
+const SIZE_PIXELS: (u32, u32) = (900, 420);
 
-/// Draws a report into an SVG file.
+/// Plots a report into an SVG file.
 pub(super) fn draw(report: &Report, path: &Path) -> StepResult<()> {
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
-    chart(report, &root).map_err(|e| StepError::new("draw plot", e.to_string()).at(path.display()))
+    let root = SVGBackend::new(path, SIZE_PIXELS).into_drawing_area();
+    draw_chart(report, &root)
+        .map_err(|e| StepError::new("draw plot", e.to_string()).at(path.display()))
 }
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 type DrawError<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
 
-fn chart<'a>(report: &Report, root: &Area<'a>) -> Result<(), DrawError<'a>> {
+fn draw_chart<'a>(report: &Report, root: &Area<'a>) -> Result<(), DrawError<'a>> {
     root.fill(&WHITE)?;
     let length = report.length.as_secs_f64();
     let mut chart = ChartBuilder::on(root)
--- a/crates/standins/src/load/report.rs
+++ b/crates/standins/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The result of a run: by class, by second, and in files.
+//! The report of a run: results by class and by second, as text and as files.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
@@ -9,53 +9,54 @@
 use types::{Priority, StepError, StepResult};
 
 use super::plot;
+use super::record::{Record, RequestResult};
 use super::scenario::Scenario;
-use super::tally::{Fate, Record};
 
-/// The longest latency that is told from longer ones, in microseconds.
-const LONGEST: u64 = 600_000_000;
+/// The largest latency that histograms record; longer ones are recorded as this.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// The digits that histograms keep.
-const DIGITS: u8 = 3;
+/// The significant decimal digits of histogram values.
+const HISTOGRAM_DIGITS: u8 = 3;
 
-/// The share of a second's arrivals that must be in time for it to be called normal.
-const NORMAL: f64 = 0.95;
+/// The minimum share of a second's arrivals that must be answered in time for the second to count
+/// as normal.
+const NORMAL_SHARE: f64 = 0.95;
 
-/// The result of a run.
+/// The report of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The scenario's name.
+    /// The name of the scenario.
     pub name: String,
-    /// How long requests arrived.
+    /// For how long requests arrived.
     pub length: Duration,
-    /// By class, in the scenario's order.
+    /// The reports of the classes, in the scenario's order.
     pub classes: Vec<ClassReport>,
-    /// Every request, in order of arrival.
+    /// The records of all requests, in order of arrival.
     pub records: Vec<Record>,
 }
 
-/// The result of one class.
+/// The report of one class.
 #[derive(Clone, Debug)]
 pub struct ClassReport {
-    /// The class.
+    /// The name of the class.
     pub name: String,
     /// The pipeline.
     pub pipeline: String,
     /// The priority.
     pub priority: Priority,
-    /// Requests by what became of them.
+    /// The number of requests by result.
     pub fates: BTreeMap<&'static str, u64>,
-    /// Requests in all.
+    /// The number of requests.
     pub requests: u64,
-    /// Requests answered whole within their deadline.
+    /// The requests answered completely within their deadline.
     pub attained: u64,
-    /// Sendings in all.
+    /// The attempts of all requests.
     pub attempts: u64,
-    /// Refusals before anything ran.
+    /// The answers with the outcome `not-run`.
     pub refusals: u64,
-    /// Sendings without a whole answer.
+    /// The attempts whose answer didn't arrive in full.
     pub broken: u64,
-    /// Latencies of complete answers from their intended arrival, in microseconds.
+    /// The latencies of complete answers, from the intended arrival, in microseconds.
     pub latency: Histogram<u64>,
 }
 
@@ -76,20 +77,21 @@
     }
 
     fn add(&mut self, record: &Record) {
-        *self.fates.entry(record.fate.as_str()).or_default() += 1;
+        *self.fates.entry(record.result.as_str()).or_default() += 1;
         self.requests += 1;
-        self.attempts += u64::from(record.account.attempts);
-        self.refusals += u64::from(record.account.refusals);
-        self.broken += u64::from(record.account.broken);
-        if record.fate == Fate::InTime {
+        self.attempts += u64::from(record.stats.attempts);
+        self.refusals += u64::from(record.stats.refusals);
+        self.broken += u64::from(record.stats.broken);
+        if record.result == RequestResult::InTime {
             self.attained += 1;
         }
-        if matches!(record.fate, Fate::InTime | Fate::Late) {
+        if matches!(record.result, RequestResult::InTime | RequestResult::Late) {
             self.latency.saturating_record(record.latency.as_micros() as u64);
         }
     }
 
-    /// Returns the share of requests answered whole within their deadline; 1 if there were none.
+    /// Returns the share of requests answered completely within their deadline, or 1 if there were
+    /// no requests.
     pub fn attainment(&self) -> f64 {
         if self.requests == 0 { 1.0 } else { self.attained as f64 / self.requests as f64 }
     }
@@ -101,7 +103,7 @@
 }
 
 impl Report {
-    /// Adds up the records of a run.
+    /// Builds the report from the records of a run.
     pub fn new(scenario: &Scenario, mut records: Vec<Record>) -> Self {
         records.sort_by_key(|it| it.at);
         let class =
@@ -113,19 +115,19 @@
         Self { name: scenario.name.clone(), length: scenario.length(), classes, records }
     }
 
-    /// Returns requests and those attained of a class, by second of arrival.
+    /// Returns the numbers of requests and of attained requests of a class, by second of arrival.
     pub fn seconds(&self, class: usize) -> Vec<(u64, u64)> {
         let mut seconds = vec![(0, 0); self.length.as_secs_f64().ceil() as usize];
         for record in self.records.iter().filter(|it| it.class == class) {
             let Some(second) = seconds.get_mut(record.at.as_secs() as usize) else { continue };
             second.0 += 1;
-            second.1 += u64::from(record.fate == Fate::InTime);
+            second.1 += u64::from(record.result == RequestResult::InTime);
         }
         seconds
     }
 
-    /// Returns how long after `from` a second's arrivals last fell short of normal, all classes
-    /// together; `None` if they still do at the end of the run.
+    /// Returns the time from `from` until all further seconds are normal, over all classes together.
+    /// Returns `None` if the last second of the run is not normal.
     pub fn recovery(&self, from: Duration) -> Option<Duration> {
         let first = from.as_secs() as usize;
         let by_class: Vec<_> = (0..self.classes.len()).map(|it| self.seconds(it)).collect();
@@ -135,7 +137,7 @@
                 by_class.iter().map(|it| f(&it[*second])).sum()
             };
             let (all, attained) = (sum(|it| it.0), sum(|it| it.1));
-            attained as f64 >= NORMAL * all as f64
+            attained as f64 >= NORMAL_SHARE * all as f64
         };
         match (first..seconds).rev().find(|second| !normal(second)) {
             None => Some(Duration::ZERO),
@@ -144,19 +146,19 @@
         }
     }
 
-    /// Returns the number of requests with one fate.
-    pub fn count(&self, fate: Fate) -> u64 {
-        self.records.iter().filter(|it| it.fate == fate).count() as u64
+    /// Returns the number of requests with the given result.
+    pub fn count(&self, result: RequestResult) -> u64 {
+        self.records.iter().filter(|it| it.result == result).count() as u64
     }
 
     /// Writes `NAME.classes.csv`, `NAME.requests.csv` and `NAME.svg` into a folder.
     ///
     /// # Errors
-    /// A file can't be written.
+    /// Returns an error if a file can't be written.
     pub fn write(&self, folder: &Path) -> StepResult<()> {
         let file = |kind: &str| folder.join(format!("{}.{kind}", self.name));
-        put(&file("classes.csv"), &self.classes_csv())?;
-        put(&file("requests.csv"), &self.requests_csv())?;
+        write_file(&file("classes.csv"), &self.classes_csv())?;
+        write_file(&file("requests.csv"), &self.requests_csv())?;
         plot::draw(self, &file("svg"))
     }
 
@@ -189,19 +191,19 @@
         let mut text =
             String::from("at_ms,class,fate,latency_ms,attempts,refusals,unknown,failed,broken\n");
         for it in &self.records {
-            let account = &it.account;
+            let stats = &it.stats;
             let _ = writeln!(
                 text,
                 "{:.1},{},{},{:.1},{},{},{},{},{}",
                 it.at.as_secs_f64() * 1e3,
                 self.classes[it.class].name,
-                it.fate.as_str(),
+                it.result.as_str(),
                 it.latency.as_secs_f64() * 1e3,
-                account.attempts,
-                account.refusals,
-                account.unknown,
-                account.failed,
-                account.broken,
+                stats.attempts,
+                stats.refusals,
+                stats.unknown,
+                stats.failed,
+                stats.broken,
             );
         }
         text
@@ -217,7 +219,7 @@
             "class", "priority", "requests", "attained", "attempts", "refusals", "p50 ms", "p99 ms"
         )?;
         for it in &self.classes {
-            let fates = it.fates.iter().map(|(fate, count)| format!("{fate} {count}"));
+            let fates = it.fates.iter().map(|(result, count)| format!("{result} {count}"));
             writeln!(
                 f,
                 "{:<14}{:>9}{:>10}{:>9.2}%{:>10}{:>10}{:>9.1}{:>9.1}  {}",
@@ -237,12 +239,12 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    match Histogram::new_with_max(LONGEST, DIGITS) {
+    match Histogram::new_with_max(MAX_LATENCY_US, HISTOGRAM_DIGITS) {
         Ok(histogram) => histogram,
         Err(e) => unreachable!("the bounds are constants: {e}"),
     }
 }
 
-fn put(path: &Path, text: &str) -> StepResult<()> {
+fn write_file(path: &Path, text: &str) -> StepResult<()> {
     std::fs::write(path, text).map_err(|e| StepError::new("write file", e).at(path.display()))
 }
--- a/crates/standins/src/load/scenario.rs
+++ b/crates/standins/src/load/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: JSON with comments.
+//! Scenario files of the load tool: JSON with comments.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,58 +8,58 @@
 use serde::{Deserialize, Serialize};
 use types::{Millis, PipelineName, PoolKind, Priority, Rate, StepError, StepResult};
 
-/// One run of the load tool.
+/// The description of one run of the load tool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name, for titles and file names.
+    /// The name, for titles and file names.
     pub name: String,
-    /// How long requests arrive, in milliseconds.
+    /// For how long requests arrive, in milliseconds.
     pub length: Millis,
-    /// How long callers may go on after that, in milliseconds.
+    /// How long callers may continue after that, in milliseconds.
     #[serde(default = "drain")]
     pub drain: Millis,
-    /// The seed of the arrivals.
+    /// The seed of the random arrivals.
     #[serde(default = "one")]
     pub seed: u64,
     /// The addresses of the entries.
     #[serde(default)]
     pub entries: Vec<SocketAddr>,
-    /// What arrives.
+    /// The classes of requests that arrive.
     pub classes: Vec<Class>,
-    /// How long a caller waits before it resends where no answer tells, in milliseconds.
+    /// How long a caller waits before a resend if the answer doesn't say, in milliseconds.
     #[serde(default = "pause")]
     pub pause: Millis,
-    /// Who drives the stages.
+    /// Whether the entries or the load tool itself run the pipelines.
     #[serde(default)]
     pub policy: Policy,
 }
 
-/// Requests of one kind.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// The pipeline.
+    /// The pipeline that runs the requests.
     pub pipeline: PipelineName,
     /// The customer's bearer key.
     #[serde(default)]
     pub key: String,
-    /// The priority, for the account; the service's own settings decide.
+    /// The priority shown in the report. The service's own settings decide on the actual priority.
     #[serde(default)]
     pub priority: Priority,
-    /// Arrivals a second.
+    /// The arrivals per second.
     pub rate: Rate,
-    /// Times with another rate.
+    /// The periods with another rate.
     #[serde(default)]
     pub bursts: Vec<Burst>,
-    /// The deadline, counted from the intended arrival, in milliseconds.
+    /// The time from the intended arrival to the deadline, in milliseconds.
     pub deadline: Millis,
-    /// The tokens to generate; 0 where the pipeline generates none.
+    /// The number of tokens to generate; 0 if the pipeline generates none.
     #[serde(default)]
     pub tokens: u64,
-    /// The length of further text in the input, in bytes.
+    /// The length of additional text in the input, in bytes.
     #[serde(default)]
     pub padding: usize,
     /// Whether requests carry an idempotency key.
@@ -70,39 +70,39 @@
     pub stream: bool,
 }
 
-/// A time with another rate.
+/// A period with another rate.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// When it begins, in milliseconds from the start.
+    /// The start of the period, in milliseconds since the start of the run.
     pub from: Millis,
-    /// When it ends, in milliseconds from the start.
+    /// The end of the period, in milliseconds since the start of the run.
     pub to: Millis,
-    /// Arrivals a second meanwhile.
+    /// The arrivals per second in the period.
     pub rate: Rate,
 }
 
-/// Who drives the stages.
+/// Who runs the pipelines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
     /// The entries.
     #[default]
     Mothplank,
-    /// The tool itself.
+    /// The load tool itself, which calls the upstreams directly.
     Baseline(Baseline),
 }
 
-/// A plain policy to compare with: round robin, no admission, retries at once.
+/// A simple policy for comparison: round robin, no admission control, immediate retries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Baseline {
     /// The stages of each pipeline.
-    pub pipelines: BTreeMap<PipelineName, Vec<Hop>>,
-    /// How often a stage is tried in all.
+    pub pipelines: BTreeMap<PipelineName, Vec<BaselineStage>>,
+    /// The maximum number of attempts per stage.
     #[serde(default = "attempts")]
     pub attempts: u32,
-    /// How long a stage may take at a try, in milliseconds; 0 is what is left of the deadline.
+    /// The timeout of one attempt, in milliseconds; 0 means the time left until the deadline.
     #[serde(default)]
     pub timeout: Millis,
 }
@@ -110,14 +110,14 @@
 /// One stage of a baseline's pipeline.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Hop {
-    /// Its name.
+pub struct BaselineStage {
+    /// The name of the stage.
     pub name: String,
-    /// What its upstreams do.
+    /// The kind of work that its upstreams do.
     pub kind: PoolKind,
-    /// Its upstreams.
+    /// The addresses of its upstreams.
     pub upstreams: Vec<SocketAddr>,
-    /// The path of the call; plain services only.
+    /// The URL path of the call; plain services only.
     #[serde(default)]
     pub path: Option<String>,
 }
@@ -126,22 +126,22 @@
     /// Reads a scenario file.
     ///
     /// # Errors
-    /// The file can't be read or isn't a scenario.
+    /// Returns an error if the file can't be read or isn't a valid scenario.
     pub fn read(path: &Path) -> StepResult<Self> {
-        let fault = |e: eyre::Report| StepError::new("read scenario", e).at(path.display());
-        let text = std::fs::read_to_string(path).map_err(|e| fault(e.into()))?;
+        let read_error = |e: eyre::Report| StepError::new("read scenario", e).at(path.display());
+        let text = std::fs::read_to_string(path).map_err(|e| read_error(e.into()))?;
         let options = jsonc_parser::ParseOptions::default();
-        jsonc_parser::parse_to_serde_value(&text, &options).map_err(|e| fault(e.into()))
+        jsonc_parser::parse_to_serde_value(&text, &options).map_err(|e| read_error(e.into()))
     }
 
-    /// Returns how long requests arrive.
+    /// Returns for how long requests arrive.
     pub fn length(&self) -> Duration {
         self.length.into()
     }
 }
 
 impl Class {
-    /// Returns the arrivals a second at a time from the start.
+    /// Returns the arrivals per second at a time since the start of the run.
     pub fn rate_at(&self, at: Duration) -> f64 {
         let within = |it: &&Burst| Duration::from(it.from) <= at && at < Duration::from(it.to);
         self.bursts.iter().find(within).map_or(self.rate.0, |it| it.rate.0)
--- a/crates/standins/src/load/verify.rs
+++ b/crates/standins/src/load/verify.rs
@@ -1,34 +1,34 @@
-//! Checks that an answer is the request's own and whole.
+//! Checks that an output belongs to its request and is complete.
 
 use serde_json::Value;
 
 use crate::marker;
 
-/// What an output is.
+/// The result of checking an output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The request's own, whole.
+    /// The output belongs to the request and is complete.
     Own,
-    /// It carries another request's marker.
+    /// The output has the marker of another request.
     Crossed,
-    /// It carries no marker, or its tokens are not each there once.
-    Broken,
+    /// The output has no marker, or tokens are missing, duplicate or out of order.
+    Incomplete,
 }
 
-/// Checks an output: its only marker is `own`, and where it holds an engine's text (a string that
-/// starts with `marker=`) the text has `tokens` tokens in order, or any number if `tokens` is 0.
+/// Checks an output. Its only marker must be `own`. Each text of an engine in it (a string that
+/// starts with `marker=`) must have `tokens` tokens in order, or any number if `tokens` is 0.
 pub fn verify(output: &Value, own: &str, tokens: u64) -> Verdict {
     let found = marker::find(&output.to_string());
     if found.iter().any(|it| it != own) {
         return Verdict::Crossed;
     }
-    if found.is_empty() || !strings(output).all(|it| is_whole(it, tokens)) {
-        return Verdict::Broken;
+    if found.is_empty() || !strings(output).all(|it| is_complete(it, tokens)) {
+        return Verdict::Incomplete;
     }
     Verdict::Own
 }
 
-fn is_whole(text: &str, tokens: u64) -> bool {
+fn is_complete(text: &str, tokens: u64) -> bool {
     if !text.starts_with("marker=") {
         return true;
     }
@@ -43,6 +43,7 @@
     tokens == 0 || count == tokens
 }
 
+/// Returns all strings in a JSON value, without the names of fields.
 fn strings(value: &Value) -> Box<dyn Iterator<Item = &str> + '_> {
     match value {
         Value::String(text) => Box::new(std::iter::once(text.as_str())),
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! A fake of the platform's list of VMs: `GET /v1/vms`, and `PUT /v1/vms` to replace the list.
+//! A fake of the platform's list of VMs: `GET /v1/vms` returns the list, `PUT /v1/vms` replaces it.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,32 +8,32 @@
 use serde::{Deserialize, Serialize};
 use types::{StepResult, VmName};
 
-use crate::faults::Switch;
+use crate::faults::FaultSwitch;
 use crate::http::{self, Handler, Reply};
 
-/// Whether a VM is on its way out.
+/// Whether a VM is about to be removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// It stays.
+    /// The VM stays.
     Live,
-    /// It is leaving.
+    /// The VM is about to be removed.
     Leaving,
 }
 
-/// One line of the list.
+/// One entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// The VM.
+    /// The name of the VM.
     pub vm: VmName,
-    /// Whether it is on its way out.
+    /// Whether the VM is about to be removed.
     pub state: VmState,
 }
 
 /// The list as it is served.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vms {
-    /// Grows with each change.
+    /// The number of the list's version; it grows with each change.
     pub sequence: u64,
     /// The VMs.
     pub vms: Vec<Vm>,
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 means any free port.
     pub listen: SocketAddr,
-    /// The VMs at the start, all live.
+    /// The initial VMs, all live.
     pub vms: Vec<VmName>,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// A running fake platform.
+/// A handle to a running fake platform. Dropping it stops the fake.
 #[derive(Debug)]
 pub struct Platform {
     address: SocketAddr,
@@ -64,48 +64,48 @@
 
 #[derive(Debug)]
 struct Inner {
-    faults: Switch,
+    faults: FaultSwitch,
     list: Mutex<Vms>,
 }
 
 /// Starts a fake platform.
 ///
 /// # Errors
-/// The address cannot be listened on.
+/// Returns an error if the fake can't listen on its address.
 pub async fn spawn(config: Config) -> StepResult<Platform> {
     let vms = config.vms.into_iter().map(|vm| Vm { vm, state: VmState::Live }).collect();
     let list = Mutex::new(Vms { sequence: 1, vms });
-    let inner = Arc::new(Inner { faults: Switch::new(1), list });
-    let address = http::serve(config.listen, inner.clone(), inner.faults.door()).await?;
+    let inner = Arc::new(Inner { faults: FaultSwitch::new(1), list });
+    let address = http::serve(config.listen, inner.clone(), inner.faults.availability()).await?;
     Ok(Platform { address, inner })
 }
 
 impl Platform {
-    /// Returns where it listens.
+    /// Returns the address on which the fake listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the switch of its faults.
-    pub fn faults(&self) -> &Switch {
+    /// Returns the switch that injects faults.
+    pub fn faults(&self) -> &FaultSwitch {
         &self.inner.faults
     }
 
-    /// Replaces the list.
+    /// Replaces the list of VMs.
     pub fn set(&self, vms: Vec<Vm>) {
         self.inner.set(vms);
     }
 
-    /// Marks one VM.
+    /// Sets the state of one VM.
     pub fn mark(&self, vm: &VmName, state: VmState) {
         let mut list = self.inner.list();
         list.sequence += 1;
-        for line in list.vms.iter_mut().filter(|it| it.vm == *vm) {
-            line.state = state;
+        for entry in list.vms.iter_mut().filter(|it| it.vm == *vm) {
+            entry.state = state;
         }
     }
 
-    /// Ends it, with all its connections.
+    /// Stops the fake and closes all its connections.
     pub fn stop(&self) {
         self.inner.faults.stop();
     }
@@ -120,7 +120,7 @@
 impl Handler for Inner {
     async fn handle(self: Arc<Self>, request: Request<Bytes>) -> Reply {
         match (request.method(), request.uri().path()) {
-            (&Method::GET, "/v1/vms") => self.answer().await,
+            (&Method::GET, "/v1/vms") => self.answer_list().await,
             (&Method::PUT, "/v1/vms") => match serde_json::from_slice(request.body()) {
                 Ok(vms) => {
                     self.set(vms);
@@ -135,17 +135,17 @@
 }
 
 impl Inner {
-    async fn answer(&self) -> Reply {
-        let fate = self.faults.draw();
-        if fate.hang {
+    async fn answer_list(&self) -> Reply {
+        let faults = self.faults.draw();
+        if faults.hang {
             std::future::pending::<()>().await;
         }
-        tokio::time::sleep(fate.late).await;
-        if fate.error {
+        tokio::time::sleep(faults.late).await;
+        if faults.error {
             return http::error(StatusCode::INTERNAL_SERVER_ERROR, "failed on command");
         }
-        if fate.cut {
-            return http::half(StatusCode::OK, &*self.list());
+        if faults.cut {
+            return http::truncated_json(StatusCode::OK, &*self.list());
         }
         http::json(StatusCode::OK, &*self.list())
     }
--- a/crates/standins/src/ports.rs
+++ b/crates/standins/src/ports.rs
@@ -1,4 +1,4 @@
-//! Ports for the processes of a test, which nobody else is given meanwhile.
+//! Reserved ports for the processes of a test.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -7,17 +7,20 @@
 
 use socket2::{Domain, Socket, Type};
 
-/// The addresses that this process has taken so far.
-static COUNT: AtomicU32 = AtomicU32::new(1);
+/// The number of the next loopback address that this process takes.
+static NEXT_NUMBER: AtomicU32 = AtomicU32::new(1);
 
-/// Ports on one loopback address, reserved for as long as this is kept.
+/// Ports on one loopback address that stay reserved until this value and its clones are dropped.
 ///
-/// What goes wrong with a port that is found by binding to it and released for the process that is to
-/// have it: it is taken when that process starts, which ends with `Address already in use`, or the test
-/// waits for it in vain. It is given to a socket that asks for any port; or the listener that was closed
-/// is still open in a child that another thread has forked and that has not yet got as far as its own
-/// program. So the socket that reserves a port stays open and never listens: the kernel gives its port to
-/// nobody that asks for any, and lets another socket listen on it, whoever has a copy.
+/// A test could also find a free port by binding to it and releasing it for the process that needs
+/// it. But that port may be taken again when the process starts: the process then fails with
+/// `Address already in use`, or the test waits for it in vain. Either the kernel has given the port
+/// to a socket that asked for any port, or the closed listener is still open in a child that another
+/// thread has forked and that has not yet called `exec`.
+///
+/// Here, the socket that reserves a port stays open and never listens. The kernel then doesn't give
+/// the port to sockets that ask for any port, but lets another socket listen on it, even if forked
+/// children hold copies of the reserving socket.
 #[derive(Clone, Debug)]
 pub struct Ports {
     ip: IpAddr,
@@ -25,39 +28,40 @@
 }
 
 impl Ports {
-    /// Takes an address out of 127.64.0.0/10 that this process has not taken before. Another process may
-    /// use the same one; its ports are others all the same.
+    /// Takes an address out of 127.64.0.0/10 that this process has not taken before. Another process
+    /// may use the same address, but is given other ports of it.
     pub fn open() -> Self {
         let [_, _, high, low] = std::process::id().to_be_bytes();
-        let [.., count] = COUNT.fetch_add(1, Ordering::Relaxed).to_be_bytes();
-        let ip = Ipv4Addr::new(127, 64 | (high & 0x3f), low, count.max(1));
+        let [.., number] = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed).to_be_bytes();
+        let ip = Ipv4Addr::new(127, 64 | (high & 0x3f), low, number.max(1));
         Self { ip: ip.into(), reserved: Arc::default() }
     }
 
-    /// Returns the address that all the ports are on.
+    /// Returns the IP address of all the ports.
     pub fn ip(&self) -> IpAddr {
         self.ip
     }
 
-    /// Reserves a port for TCP and, since only its holder uses this address, for UDP.
+    /// Reserves a port for TCP. Its holder can use it for UDP too, because nothing else uses the
+    /// port on this address.
     ///
     /// # Errors
-    /// Where the kernel has no socket or no port left.
+    /// Returns an error if the kernel has no socket or no port left.
     pub fn reserve(&self) -> io::Result<SocketAddr> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
-        // The holder's listener sets it too, as the usual libraries do; both must.
+        // Both sockets on the port need this option; the common libraries set it on listeners.
         socket.set_reuse_address(true)?;
         socket.bind(&SocketAddr::new(self.ip, 0).into())?;
         let address = socket.local_addr()?.as_socket();
         self.reserved.lock().unwrap_or_else(PoisonError::into_inner).push(socket);
-        address.ok_or_else(|| io::Error::other("a socket without an address"))
+        address.ok_or_else(|| io::Error::other("the reserving socket has no IP address"))
     }
 
-    /// Reserves a port.
+    /// Reserves a port like [`Ports::reserve`].
     ///
     /// # Panics
-    /// Where the kernel has none left: a test can't go on.
+    /// Panics if the kernel has no socket or no port left, because the test can't continue.
     pub fn free(&self) -> SocketAddr {
-        self.reserve().expect("loopback has a free port")
+        self.reserve().expect("a free port on the loopback address")
     }
 }
--- a/crates/standins/src/proxy/datagrams.rs
+++ b/crates/standins/src/proxy/datagrams.rs
@@ -1,4 +1,4 @@
-//! The proxy's way for datagrams.
+//! Forwards datagrams between clients and the proxy's target.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -6,56 +6,58 @@
 
 use tokio::net::UdpSocket;
 
-use super::{CHUNK, Inner};
-use crate::http::Door;
+use super::{CHUNK_BYTES, Inner};
+use crate::http::Availability;
 
-/// Forwards datagrams, with a socket towards the target for each client so that answers find back.
-pub(super) async fn relay(inner: Arc<Inner>, outer: Arc<UdpSocket>) {
-    let mut door = inner.door.subscribe();
+/// Forwards datagrams from clients to the target. Each client gets its own socket to the target, so
+/// that replies can be sent back to it.
+pub(super) async fn forward_requests(inner: Arc<Inner>, listener: Arc<UdpSocket>) {
+    let mut availability = inner.availability.subscribe();
     let mut clients: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
-    let mut datagram = vec![0; CHUNK];
+    let mut datagram = vec![0; CHUNK_BYTES];
     loop {
         let received = tokio::select! {
-            _ = door.wait_for(|it| *it == Door::Stopped) => return,
-            received = outer.recv_from(&mut datagram) => received,
+            _ = availability.wait_for(|it| *it == Availability::Stopped) => return,
+            received = listener.recv_from(&mut datagram) => received,
         };
         let Ok((length, client)) = received else { continue };
-        if inner.swallows(length, |rule| rule.up) {
+        if inner.discards_datagram(length, |rule| rule.silent_up) {
             continue;
         }
         if let Some(socket) = clients.get(&client) {
             let _ = socket.send(&datagram[..length]).await;
             continue;
         }
-        let Ok(socket) = towards(inner.target).await else { continue };
+        let Ok(socket) = connect(inner.target).await else { continue };
         let _ = socket.send(&datagram[..length]).await;
-        tokio::spawn(answers(inner.clone(), socket.clone(), outer.clone(), client));
+        tokio::spawn(forward_replies(inner.clone(), socket.clone(), listener.clone(), client));
         clients.insert(client, socket);
     }
 }
 
-async fn towards(target: SocketAddr) -> std::io::Result<Arc<UdpSocket>> {
+async fn connect(target: SocketAddr) -> std::io::Result<Arc<UdpSocket>> {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     socket.connect(target).await?;
     Ok(Arc::new(socket))
 }
 
-async fn answers(
+/// Forwards replies of the target to one client.
+async fn forward_replies(
     inner: Arc<Inner>,
     socket: Arc<UdpSocket>,
-    outer: Arc<UdpSocket>,
+    listener: Arc<UdpSocket>,
     client: SocketAddr,
 ) {
-    let mut door = inner.door.subscribe();
-    let mut datagram = vec![0; CHUNK];
+    let mut availability = inner.availability.subscribe();
+    let mut datagram = vec![0; CHUNK_BYTES];
     loop {
         let received = tokio::select! {
-            _ = door.wait_for(|it| *it == Door::Stopped) => return,
+            _ = availability.wait_for(|it| *it == Availability::Stopped) => return,
             received = socket.recv(&mut datagram) => received,
         };
         let Ok(length) = received else { continue };
-        if !inner.swallows(length, |rule| rule.down) {
-            let _ = outer.send_to(&datagram[..length], client).await;
+        if !inner.discards_datagram(length, |rule| rule.silent_down) {
+            let _ = listener.send_to(&datagram[..length], client).await;
         }
     }
 }
--- a/crates/standins/src/proxy/mod.rs
+++ b/crates/standins/src/proxy/mod.rs
@@ -1,10 +1,10 @@
-//! A cutting proxy on loopback: it forwards TCP and UDP to one target until a command makes
-//! connections go silent. Bytes of a silent connection are swallowed and its sockets stay open, as
-//! when something between the two ends has lost track of it. Datagrams belong to no connection:
-//! only a cut of [`Scope::All`] swallows them.
+//! A proxy on loopback that forwards TCP and UDP to one target and can cut connections. Bytes of a
+//! cut connection are discarded while its sockets stay open, as when a device between the two ends
+//! has lost the connection's state. Datagrams belong to no connection: only a cut of [`Scope::All`]
+//! discards them.
 //!
-//! Commands come by the handle or on the side port: `POST /cut` with a [`Cut`], `POST /heal`,
-//! `POST /delay` with `{"delay": MS}`, `GET /counts`.
+//! The proxy takes commands through its handle or on its control address: `POST /cut` with a
+//! [`Cut`], `POST /heal`, `POST /delay` with `{"delay": MS}`, `GET /counts`.
 
 mod datagrams;
 
@@ -22,19 +22,19 @@
 use tokio::sync::watch;
 use types::{Millis, StepError, StepResult};
 
-use crate::http::{self, Door, Handler, Reply};
+use crate::http::{self, Availability, Handler, Reply};
 
-/// How many ports are tried for one that is free for TCP and UDP.
-const PORTS: u32 = 16;
+/// The maximum number of ports tried to find one that is free for both TCP and UDP.
+const MAX_BIND_TRIES: u32 = 16;
 
-/// How much is forwarded at once, in bytes.
-const CHUNK: usize = 16 << 10;
+/// The maximum number of bytes that are forwarded at once.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// Which direction a cut silences.
+/// The direction in which a cut discards bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Way {
-    /// Both.
+    /// Both directions.
     #[default]
     Both,
     /// From the client to the target.
@@ -43,24 +43,24 @@
     Down,
 }
 
-/// Which connections a cut silences.
+/// The connections that are cut.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scope {
-    /// Those open now; new ones work.
+    /// Those that are open now; new ones work.
     #[default]
     Open,
-    /// New ones too, until [`Proxy::heal`].
+    /// Those that are open now and new ones until [`Proxy::heal`]; also all datagrams.
     All,
 }
 
-/// A cut. A connection that it silences stays silent for good.
+/// A cut: discards the bytes of connections. A cut connection never works again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Cut {
-    /// The direction.
+    /// The direction in which bytes are discarded.
     pub way: Way,
-    /// The connections.
+    /// The connections that are cut.
     pub scope: Scope,
 }
 
@@ -68,13 +68,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 means any free port.
     pub listen: SocketAddr,
-    /// Where it takes commands; port 0 takes a free one.
+    /// The control address, which takes commands; port 0 means any free port.
     pub side: SocketAddr,
-    /// Where it forwards to.
+    /// The address to forward to.
     pub target: SocketAddr,
-    /// How long each chunk is held back, in milliseconds.
+    /// The delay of each forwarded chunk, in milliseconds.
     pub delay: Millis,
 }
 
@@ -86,18 +86,18 @@
     }
 }
 
-/// What a proxy has counted.
+/// The counters of a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Connections accepted.
+    /// The connections accepted.
     pub opened: u64,
-    /// Bytes forwarded, both ways.
+    /// The bytes forwarded in both directions.
     pub forwarded: u64,
-    /// Bytes swallowed, both ways.
+    /// The bytes discarded in both directions.
     pub swallowed: u64,
 }
 
-/// A running proxy.
+/// A handle to a running proxy. Dropping it stops the proxy.
 #[derive(Debug)]
 pub struct Proxy {
     address: SocketAddr,
@@ -109,77 +109,80 @@
 struct Inner {
     target: SocketAddr,
     rule: watch::Sender<Rule>,
-    door: watch::Sender<Door>,
+    availability: watch::Sender<Availability>,
     opened: AtomicU64,
     forwarded: AtomicU64,
     swallowed: AtomicU64,
 }
 
-/// What is in force for connections; those with a number below a limit are silent that way.
+/// The rule in force for forwarding. Connections are numbered in the order in which they were
+/// accepted; the bytes of those with numbers below a limit are discarded in that direction.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rule {
-    up: u64,
-    down: u64,
+    /// The limit from client to target.
+    silent_up: u64,
+    /// The limit from target to client.
+    silent_down: u64,
     delay: Duration,
 }
 
 /// Starts a proxy.
 ///
 /// # Errors
-/// One of its addresses cannot be listened on.
+/// Returns an error if the proxy can't listen on one of its addresses.
 pub async fn spawn(config: Config) -> StepResult<Proxy> {
     let (listener, socket) = bind(config.listen).await?;
-    let fault = |e| StepError::new("read address", e).at(config.listen);
-    let address = listener.local_addr().map_err(fault)?;
+    let address_error = |e| StepError::new("read address", e).at(config.listen);
+    let address = listener.local_addr().map_err(address_error)?;
     let rule = Rule { delay: config.delay.into(), ..Rule::default() };
     let inner = Arc::new(Inner {
         target: config.target,
         rule: watch::Sender::new(rule),
-        door: watch::Sender::new(Door::Open),
+        availability: watch::Sender::new(Availability::Accepting),
         opened: AtomicU64::new(0),
         forwarded: AtomicU64::new(0),
         swallowed: AtomicU64::new(0),
     });
-    let side = http::serve(config.side, inner.clone(), inner.door.subscribe()).await?;
+    let side = http::serve(config.side, inner.clone(), inner.availability.subscribe()).await?;
     tokio::spawn(accept(inner.clone(), listener));
-    tokio::spawn(datagrams::relay(inner.clone(), Arc::new(socket)));
+    tokio::spawn(datagrams::forward_requests(inner.clone(), Arc::new(socket)));
     Ok(Proxy { address, side, inner })
 }
 
 impl Proxy {
-    /// Returns where it listens.
+    /// Returns the address on which the proxy listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns where it takes commands.
+    /// Returns the control address.
     pub fn side(&self) -> SocketAddr {
         self.side
     }
 
-    /// Makes connections go silent.
+    /// Cuts connections.
     pub fn cut(&self, cut: Cut) {
         self.inner.cut(cut);
     }
 
-    /// Lets new connections work again.
+    /// Ends a cut of [`Scope::All`]: new connections and datagrams pass again.
     pub fn heal(&self) {
         self.inner.heal();
     }
 
-    /// Sets how long each chunk is held back.
+    /// Sets the delay of each forwarded chunk.
     pub fn delay(&self, delay: Duration) {
         self.inner.rule.send_modify(|it| it.delay = delay);
     }
 
-    /// Returns what it has counted.
+    /// Returns the current values of the counters.
     pub fn counts(&self) -> Counts {
         self.inner.counts()
     }
 
-    /// Ends it, with all its connections.
+    /// Stops the proxy and closes all its connections.
     pub fn stop(&self) {
-        self.inner.door.send_replace(Door::Stopped);
+        self.inner.availability.send_replace(Availability::Stopped);
     }
 }
 
@@ -198,7 +201,7 @@
 impl Handler for Inner {
     async fn handle(self: Arc<Self>, request: Request<Bytes>) -> Reply {
         let body = request.body();
-        let done = match (request.method(), request.uri().path()) {
+        let result = match (request.method(), request.uri().path()) {
             (&Method::POST, "/cut") => {
                 serde_json::from_slice(body).map(|cut| self.cut(cut)).map_err(|e| e.to_string())
             }
@@ -212,7 +215,7 @@
             (&Method::GET, "/counts") => Ok(()),
             _ => return http::error(StatusCode::NOT_FOUND, "no such command"),
         };
-        match done {
+        match result {
             Ok(()) => http::json(StatusCode::OK, &self.counts()),
             Err(message) => http::error(StatusCode::BAD_REQUEST, &message),
         }
@@ -227,29 +230,30 @@
                 Scope::All => u64::MAX,
             };
             if cut.way != Way::Down {
-                rule.up = limit;
+                rule.silent_up = limit;
             }
             if cut.way != Way::Up {
-                rule.down = limit;
+                rule.silent_down = limit;
             }
         });
     }
 
-    /// Leaves every connection that is open now silent where it is: bytes of it are lost.
+    /// Ends the cut of new connections. Connections that are cut and open now stay cut, because
+    /// some of their bytes are lost.
     fn heal(&self) {
         self.rule.send_modify(|rule| {
             let opened = self.opened.load(Ordering::SeqCst);
-            rule.up = rule.up.min(opened);
-            rule.down = rule.down.min(opened);
+            rule.silent_up = rule.silent_up.min(opened);
+            rule.silent_down = rule.silent_down.min(opened);
         });
     }
 
-    /// Counts a datagram; tells whether it is swallowed.
-    fn swallows(&self, length: usize, limit: impl Fn(&Rule) -> u64) -> bool {
-        let swallowed = limit(&self.rule.borrow()) == u64::MAX;
-        let counter = if swallowed { &self.swallowed } else { &self.forwarded };
+    /// Counts a datagram and returns whether it is discarded.
+    fn discards_datagram(&self, length: usize, limit: impl Fn(&Rule) -> u64) -> bool {
+        let discarded = limit(&self.rule.borrow()) == u64::MAX;
+        let counter = if discarded { &self.swallowed } else { &self.forwarded };
         counter.fetch_add(length as u64, Ordering::Relaxed);
-        swallowed
+        discarded
     }
 
     fn counts(&self) -> Counts {
@@ -261,60 +265,60 @@
     }
 }
 
-/// Binds TCP and UDP at one address. A port that is free for TCP may be taken for UDP; where the
-/// port is open, another is tried.
+/// Binds TCP and UDP to the same address. A port that is free for TCP may be taken for UDP; if
+/// `listen` has port 0, other ports are tried then.
 async fn bind(listen: SocketAddr) -> StepResult<(TcpListener, UdpSocket)> {
-    let fault = |e| StepError::new("listen", e).at(listen);
-    let mut tries = if listen.port() == 0 { PORTS } else { 1 };
+    let listen_error = |e| StepError::new("listen", e).at(listen);
+    let mut tries = if listen.port() == 0 { MAX_BIND_TRIES } else { 1 };
     loop {
-        let listener = TcpListener::bind(listen).await.map_err(fault)?;
-        let address = listener.local_addr().map_err(fault)?;
+        let listener = TcpListener::bind(listen).await.map_err(listen_error)?;
+        let address = listener.local_addr().map_err(listen_error)?;
         tries -= 1;
         match UdpSocket::bind(address).await {
             Ok(socket) => return Ok((listener, socket)),
-            Err(e) if tries == 0 => return Err(fault(e)),
+            Err(e) if tries == 0 => return Err(listen_error(e)),
             Err(_) => {}
         }
     }
 }
 
 async fn accept(inner: Arc<Inner>, listener: TcpListener) {
-    let mut door = inner.door.subscribe();
+    let mut availability = inner.availability.subscribe();
     loop {
         tokio::select! {
-            _ = door.wait_for(|it| *it == Door::Stopped) => return,
+            _ = availability.wait_for(|it| *it == Availability::Stopped) => return,
             accepted = listener.accept() => if let Ok((client, _)) = accepted {
                 let number = inner.opened.fetch_add(1, Ordering::SeqCst);
-                tokio::spawn(pair(inner.clone(), client, number));
+                tokio::spawn(forward_connection(inner.clone(), client, number));
             },
         }
     }
 }
 
-async fn pair(inner: Arc<Inner>, client: TcpStream, number: u64) {
+async fn forward_connection(inner: Arc<Inner>, client: TcpStream, number: u64) {
     let Ok(target) = TcpStream::connect(inner.target).await else { return };
     let _ = client.set_nodelay(true);
     let _ = target.set_nodelay(true);
     let (from_client, to_client) = client.into_split();
     let (from_target, to_target) = target.into_split();
-    let up = pump(&inner, from_client, to_target, move |rule| number < rule.up);
-    let down = pump(&inner, from_target, to_client, move |rule| number < rule.down);
-    let mut door = inner.door.subscribe();
+    let up = forward(&inner, from_client, to_target, move |rule| number < rule.silent_up);
+    let down = forward(&inner, from_target, to_client, move |rule| number < rule.silent_down);
+    let mut availability = inner.availability.subscribe();
     tokio::select! {
-        _ = door.wait_for(|it| *it == Door::Stopped) => {}
+        _ = availability.wait_for(|it| *it == Availability::Stopped) => {}
         _ = async { tokio::join!(up, down) } => {}
     }
 }
 
-/// Forwards one way until the source ends. The end of a silent source is swallowed too: the
-/// write half is kept, so that the other side sees neither bytes nor a close.
-async fn pump(
+/// Forwards one direction until the source ends. The end of a cut source isn't forwarded either:
+/// returning the write half keeps it open, so that the other side sees neither bytes nor a close.
+async fn forward(
     inner: &Inner,
     mut source: OwnedReadHalf,
     mut sink: OwnedWriteHalf,
-    silent: impl Fn(&Rule) -> bool,
+    is_silent: impl Fn(&Rule) -> bool,
 ) -> OwnedWriteHalf {
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let length = match source.read(&mut chunk).await {
             Ok(length) if length > 0 => length,
@@ -324,7 +328,7 @@
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        if silent(&inner.rule.borrow()) {
+        if is_silent(&inner.rule.borrow()) {
             inner.swallowed.fetch_add(length as u64, Ordering::Relaxed);
             continue;
         }
@@ -333,7 +337,7 @@
         }
         inner.forwarded.fetch_add(length as u64, Ordering::Relaxed);
     }
-    if !silent(&inner.rule.borrow()) {
+    if !is_silent(&inner.rule.borrow()) {
         let _ = sink.shutdown().await;
     }
     sink
--- a/crates/standins/src/run.rs
+++ b/crates/standins/src/run.rs
@@ -1,4 +1,4 @@
-//! Fakes as processes.
+//! Runs a fake as a process of its own.
 
 use std::net::SocketAddr;
 
@@ -6,22 +6,22 @@
 
 use crate::{engine, platform, proxy, service, stage};
 
-/// Which fake to run, with its settings.
+/// The fake to run, with its settings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Kind {
     /// A model engine.
     Engine(engine::Config),
     /// An encoder, retriever or reranker.
     Stage(stage::Config),
-    /// A plain service.
+    /// A plain service that runs no model.
     Service(service::Config),
     /// The platform's list of VMs.
     Platform(platform::Config),
-    /// A cutting proxy.
+    /// A proxy that can cut connections.
     Proxy(proxy::Config),
 }
 
-/// A running fake of any kind; dropping it ends it.
+/// A running fake of any kind; it stops when dropped.
 enum Running {
     Engine(engine::Engine),
     Stage(stage::Stage),
@@ -30,25 +30,26 @@
     Proxy(proxy::Proxy),
 }
 
-/// Runs a fake until the process gets an interrupt or a termination signal.
+/// Runs a fake until the process receives SIGINT or SIGTERM.
 ///
-/// `mothplank standin engine|stage|service|platform|proxy --listen IP:PORT ..` builds a [`Kind`]
-/// from its arguments (start from the kind's `Config::default()`, or [`proxy::Config::to`], and
-/// change the fields that were named), then blocks on this within a multi-threaded tokio runtime.
-/// `ready` is called once with the address that was bound, so that the binary can print it; with
-/// port 0 that is how a starter learns the port.
+/// Implements `mothplank standin engine|stage|service|platform|proxy --listen IP:PORT ..`. The
+/// command builds a [`Kind`] from its arguments: it starts from the `Config::default()` of the fake
+/// or from [`proxy::Config::to`], and changes the fields that were given.
+///
+/// Calls `ready` once with the bound address. The command prints it, so that whoever starts a fake
+/// on port 0 learns its port.
 ///
 /// # Errors
-/// The address cannot be listened on, or signals cannot be waited for.
+/// Returns an error if the fake can't listen on its address, or if signals can't be received.
 pub async fn run(kind: Kind, ready: impl FnOnce(SocketAddr)) -> StepResult<()> {
     use tokio::signal::unix::{SignalKind, signal};
-    let fault = |e: std::io::Error| StepError::new("wait for signals", e);
-    let mut end = signal(SignalKind::terminate()).map_err(fault)?;
+    let signal_error = |e: std::io::Error| StepError::new("wait for signals", e);
+    let mut end = signal(SignalKind::terminate()).map_err(signal_error)?;
     let running = start(kind).await?;
     ready(running.address());
     tokio::select! {
         _ = end.recv() => {}
-        result = tokio::signal::ctrl_c() => result.map_err(fault)?,
+        result = tokio::signal::ctrl_c() => result.map_err(signal_error)?,
     }
     Ok(())
 }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,5 +1,6 @@
-//! A fake plain service with calls that may not be repeated: it counts the runs of each
-//! `Idempotency-Key`. Any `POST` is a call; `GET /counts` gives `{"runs": {KEY: N}, ..}`.
+//! A fake plain service whose calls must not be repeated: it counts how often it ran a call with
+//! each `Idempotency-Key`. Any `POST` but `/faults` is a call; `GET /counts` returns
+//! `{"runs": {KEY: N}, ..}`.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,20 +10,20 @@
 use serde::{Deserialize, Serialize};
 use types::{Millis, StepResult};
 
-use crate::faults::Switch;
+use crate::faults::FaultSwitch;
 use crate::handle::{self, Fake, Handle};
 use crate::http::{self, Handler, Reply};
 pub use crate::stage::Config;
 use crate::worker::{self, Answer, Worker};
 
-/// How often each key ran.
+/// The counters of a fake service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// The runs begun, by key.
+    /// The number of runs started, by idempotency key.
     pub runs: BTreeMap<String, u64>,
-    /// The runs begun without a key.
+    /// The number of runs started without an idempotency key.
     pub keyless: u64,
-    /// The total time that places were taken, in microseconds.
+    /// The total time for which slots were occupied, in microseconds.
     pub busy_us: u64,
 }
 
@@ -40,7 +41,7 @@
 /// Starts a fake service.
 ///
 /// # Errors
-/// The address cannot be listened on.
+/// Returns an error if the fake can't listen on its address.
 pub async fn spawn(config: Config) -> StepResult<Service> {
     let worker = Worker::new(config.capacity, config.queue, config.time, config.seed);
     let fake = FakeService { worker, lag: config.lag, counts: Mutex::default() };
@@ -50,7 +51,7 @@
 impl Fake for FakeService {
     type Counts = Counts;
 
-    fn faults(&self) -> &Switch {
+    fn faults(&self) -> &FaultSwitch {
         &self.worker.faults
     }
 
@@ -66,45 +67,46 @@
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/v1/load") => {
                 let draining = self.worker.faults.get().draining;
-                worker::load(&self.worker.slots, self.lag.into(), draining)
+                worker::load_reply(&self.worker.slots, self.lag.into(), draining)
             }
             (&Method::POST, "/faults") => self.worker.faults.command(request.body()),
             (&Method::GET, "/counts") => http::json(StatusCode::OK, &self.counts()),
-            (&Method::POST, _) => self.call(request).await,
+            (&Method::POST, _) => self.answer_call(request).await,
             _ => http::error(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 }
 
 impl FakeService {
-    async fn call(&self, request: Request<Bytes>) -> Reply {
-        let call = match worker::read(&request) {
+    async fn answer_call(&self, request: Request<Bytes>) -> Reply {
+        let call = match worker::parse_call(&request) {
             Ok(call) => call,
             Err(reply) => return reply,
         };
         if let Some(mut reply) = self.worker.refusal() {
-            http::echo(&mut reply, &call.call);
+            http::set_call_id(&mut reply, &call.call);
             return reply;
         }
         let key = request.headers().get("idempotency-key").and_then(|it| it.to_str().ok());
-        let run = self.count(key);
-        let fate = self.worker.faults.draw();
-        if fate.error {
+        let run = self.count_run(key);
+        let faults = self.worker.faults.draw();
+        if faults.error {
             let mut reply = http::error(StatusCode::INTERNAL_SERVER_ERROR, "failed on command");
-            http::echo(&mut reply, &call.call);
+            http::set_call_id(&mut reply, &call.call);
             return reply;
         }
-        let Some(busy) = self.worker.run(call.priority, &fate).await else {
+        let Some(busy) = self.worker.run(call.priority, &faults).await else {
             return http::error(StatusCode::INTERNAL_SERVER_ERROR, "stopped");
         };
-        let mut output = worker::chain(&call);
+        let mut output = worker::build_output(&call);
         output["run"] = run.into();
         let answer = Answer { call: call.call, output, busy_us: busy.as_micros() as u64 };
-        self.worker.reply(answer, &fate).await
+        self.worker.reply(answer, &faults).await
     }
 
-    /// Counts a run before anything can go wrong with it: from here on it has an effect.
-    fn count(&self, key: Option<&str>) -> u64 {
+    /// Counts a run and returns its number among those with the same key. A call is counted before
+    /// it can fail, because from then on it may have an effect.
+    fn count_run(&self, key: Option<&str>) -> u64 {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(key) = key else {
             counts.keyless += 1;
--- a/crates/standins/src/slots.rs
+++ b/crates/standins/src/slots.rs
@@ -1,4 +1,5 @@
-//! Places to run at once, with a queue ordered by priority, then by arrival.
+//! The slots of a fake limit how many calls run at once. Further calls wait in a queue, ordered by
+//! priority and then by arrival.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -7,10 +8,10 @@
 
 use tokio::sync::oneshot;
 
-/// How long past load samples are kept.
-const HISTORY: Duration = Duration::from_secs(10);
+/// How long load samples are kept.
+const HISTORY_WINDOW: Duration = Duration::from_secs(10);
 
-/// The places of one fake.
+/// The slots of one fake.
 #[derive(Clone, Debug)]
 pub(crate) struct Slots(Arc<Mutex<State>>);
 
@@ -25,7 +26,7 @@
     history: VecDeque<(Instant, Load)>,
 }
 
-/// How many calls run and wait.
+/// The numbers of running and waiting calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Load {
     pub(crate) running: usize,
@@ -35,7 +36,7 @@
 #[derive(Debug)]
 struct Waiter {
     rank: Reverse<(u8, u64)>,
-    wake: oneshot::Sender<Place>,
+    wake: oneshot::Sender<Slot>,
 }
 
 impl PartialEq for Waiter {
@@ -58,11 +59,11 @@
     }
 }
 
-/// One place; dropping it frees the place for the next in the queue.
+/// An acquired slot. Dropping it passes the slot to the next call in the queue.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct Slot {
     slots: Slots,
-    since: Instant,
+    acquired_at: Instant,
 }
 
 impl Slots {
@@ -78,48 +79,48 @@
         })))
     }
 
-    /// Waits for a place. Dropping the future gives up the wait.
-    pub(crate) async fn take(&self, priority: u8) -> Option<Place> {
+    /// Waits for a slot. Dropping the future leaves the queue.
+    pub(crate) async fn acquire(&self, priority: u8) -> Option<Slot> {
         let wait = self.with(|it| {
             if it.running < it.capacity {
                 it.start();
-                return Err(self.place());
+                return Err(self.new_slot());
             }
             let (wake, wait) = oneshot::channel();
             it.arrivals += 1;
             it.waiting.push(Waiter { rank: Reverse((priority, it.arrivals)), wake });
-            it.note();
+            it.record_load();
             Ok(wait)
         });
         match wait {
-            Err(place) => Some(place),
+            Err(slot) => Some(slot),
             Ok(wait) => wait.await.ok(),
         }
     }
 
-    /// Returns the load as it was `lag` ago.
+    /// Returns the load as it was before `lag`, or no load if no sample is that old.
     pub(crate) fn load(&self, lag: Duration) -> Load {
         self.with(|it| {
             it.waiting.retain(|waiter| !waiter.wake.is_closed());
-            it.note();
+            it.record_load();
             let then = Instant::now().checked_sub(lag);
             let past = it.history.iter().rev().find(|(at, _)| then.is_some_and(|t| *at <= t));
             past.map(|(_, load)| *load).unwrap_or_default()
         })
     }
 
-    /// Returns the total time that places were taken.
+    /// Returns the total time for which slots were occupied.
     pub(crate) fn busy(&self) -> Duration {
         self.with(|it| it.busy)
     }
 
-    /// Returns the most places taken at once.
+    /// Returns the largest number of slots that were occupied at once.
     pub(crate) fn peak(&self) -> usize {
         self.with(|it| it.peak)
     }
 
-    fn place(&self) -> Place {
-        Place { slots: self.clone(), since: Instant::now() }
+    fn new_slot(&self) -> Slot {
+        Slot { slots: self.clone(), acquired_at: Instant::now() }
     }
 
     fn with<R>(&self, f: impl FnOnce(&mut State) -> R) -> R {
@@ -131,33 +132,34 @@
     fn start(&mut self) {
         self.running += 1;
         self.peak = self.peak.max(self.running);
-        self.note();
+        self.record_load();
     }
 
-    fn note(&mut self) {
+    /// Adds a load sample and removes old ones.
+    fn record_load(&mut self) {
         let now = Instant::now();
         let load = Load { running: self.running, waiting: self.waiting.len() };
         self.history.push_back((now, load));
-        // The sample before the window is kept: it says how things stood when the window began.
-        while self.history.get(1).is_some_and(|(at, _)| now.duration_since(*at) > HISTORY) {
+        // The last sample before the window is kept: it is the load at the window's start.
+        while self.history.get(1).is_some_and(|(at, _)| now.duration_since(*at) > HISTORY_WINDOW) {
             self.history.pop_front();
         }
     }
 }
 
-impl Place {
-    /// Returns how long the place has been taken.
+impl Slot {
+    /// Returns how long the slot has been occupied.
     pub(crate) fn held(&self) -> Duration {
-        self.since.elapsed()
+        self.acquired_at.elapsed()
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         let mut next = None;
         self.slots.with(|it| {
             it.running -= 1;
-            it.busy += self.since.elapsed();
+            it.busy += self.acquired_at.elapsed();
             while let Some(waiter) = it.waiting.pop() {
                 if !waiter.wake.is_closed() {
                     it.start();
@@ -165,11 +167,12 @@
                     break;
                 }
             }
-            it.note();
+            it.record_load();
         });
-        // Outside the lock: a place that nobody receives is dropped here and takes the lock again.
+        // This must run without the lock: if the waiter is gone, `send` drops the slot here, which
+        // takes the lock again.
         if let Some(waiter) = next {
-            let _ = waiter.wake.send(self.slots.place());
+            let _ = waiter.wake.send(self.slots.new_slot());
         }
     }
 }
--- a/crates/standins/src/stage.rs
+++ b/crates/standins/src/stage.rs
@@ -10,27 +10,27 @@
 use serde::{Deserialize, Serialize};
 use types::{Micros, Millis, StepResult};
 
-use crate::faults::Switch;
+use crate::faults::FaultSwitch;
 use crate::handle::{self, Fake, Handle};
 use crate::http::{self, Handler, Reply};
 pub use crate::worker::ServiceTime;
 use crate::worker::{self, Answer, Worker};
 
-/// The settings of a fake stage.
+/// The settings of a fake stage or service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 means any free port.
     pub listen: SocketAddr,
-    /// How many calls run at once.
+    /// The maximum number of calls that run at once.
     pub capacity: usize,
-    /// How many calls wait before further ones get a 429.
+    /// The maximum number of waiting calls; further calls are answered with status 429.
     pub queue: usize,
-    /// How long a call runs.
+    /// The service time of a call.
     pub time: ServiceTime,
-    /// How old the reported load is, in milliseconds.
+    /// The age of the reported load, in milliseconds.
     pub lag: Millis,
-    /// The seed of service times and faults.
+    /// The seed of the random service times and faults.
     pub seed: u64,
 }
 
@@ -47,18 +47,18 @@
     }
 }
 
-/// What a fake has counted.
+/// The counters of a fake stage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Calls that reached it.
+    /// The calls received.
     pub calls: u64,
-    /// Calls refused.
+    /// The calls refused.
     pub refused: u64,
-    /// Calls that ran to their end.
+    /// The calls that ran to their end.
     pub finished: u64,
-    /// The total time that places were taken, in microseconds, abandoned calls included.
+    /// The total time for which slots were occupied, in microseconds, including abandoned calls.
     pub busy_us: u64,
-    /// The most calls that ran at once.
+    /// The largest number of calls that ran at once.
     pub peak: u64,
 }
 
@@ -78,7 +78,7 @@
 /// Starts a fake stage.
 ///
 /// # Errors
-/// The address cannot be listened on.
+/// Returns an error if the fake can't listen on its address.
 pub async fn spawn(config: Config) -> StepResult<Stage> {
     let worker = Worker::new(config.capacity, config.queue, config.time, config.seed);
     let fake = FakeStage {
@@ -94,7 +94,7 @@
 impl Fake for FakeStage {
     type Counts = Counts;
 
-    fn faults(&self) -> &Switch {
+    fn faults(&self) -> &FaultSwitch {
         &self.worker.faults
     }
 
@@ -112,10 +112,10 @@
 impl Handler for FakeStage {
     async fn handle(self: Arc<Self>, request: Request<Bytes>) -> Reply {
         match (request.method(), request.uri().path()) {
-            (&Method::POST, "/v1/stage") => self.stage(request).await,
+            (&Method::POST, "/v1/stage") => self.answer_call(request).await,
             (&Method::GET, "/v1/load") => {
                 let draining = self.worker.faults.get().draining;
-                worker::load(&self.worker.slots, self.lag.into(), draining)
+                worker::load_reply(&self.worker.slots, self.lag.into(), draining)
             }
             (&Method::POST, "/faults") => self.worker.faults.command(request.body()),
             (&Method::GET, "/counts") => http::json(StatusCode::OK, &self.counts()),
@@ -125,33 +125,33 @@
 }
 
 impl FakeStage {
-    async fn stage(&self, request: Request<Bytes>) -> Reply {
+    async fn answer_call(&self, request: Request<Bytes>) -> Reply {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        let call = match worker::read(&request) {
+        let call = match worker::parse_call(&request) {
             Ok(call) => call,
             Err(reply) => return reply,
         };
         if let Some(mut reply) = self.worker.refusal() {
             self.refused.fetch_add(1, Ordering::Relaxed);
-            http::echo(&mut reply, &call.call);
+            http::set_call_id(&mut reply, &call.call);
             return reply;
         }
-        let fate = self.worker.faults.draw();
-        if fate.error {
+        let faults = self.worker.faults.draw();
+        if faults.error {
             return failed(&call.call);
         }
-        let Some(busy) = self.worker.run(call.priority, &fate).await else {
+        let Some(busy) = self.worker.run(call.priority, &faults).await else {
             return failed(&call.call);
         };
         self.finished.fetch_add(1, Ordering::Relaxed);
-        let output = worker::chain(&call);
+        let output = worker::build_output(&call);
         let answer = Answer { call: call.call, output, busy_us: busy.as_micros() as u64 };
-        self.worker.reply(answer, &fate).await
+        self.worker.reply(answer, &faults).await
     }
 }
 
-fn failed(call: &str) -> Reply {
+fn failed(call_id: &str) -> Reply {
     let mut reply = http::error(StatusCode::INTERNAL_SERVER_ERROR, "failed on command");
-    http::echo(&mut reply, call);
+    http::set_call_id(&mut reply, call_id);
     reply
 }
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -1,4 +1,5 @@
-//! What stage pools and plain services share: places, a service time, faults and call bodies.
+//! The common parts of fake stages and fake services: slots, service times, faults and the bodies
+//! of calls.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -11,21 +12,21 @@
 use serde_json::{Value, json};
 use types::Micros;
 
-use crate::faults::{Fate, Switch};
+use crate::faults::{CallFaults, FaultSwitch};
 use crate::http::{self, Reply};
 use crate::slots::Slots;
 
-/// How long a call takes once it runs, in microseconds.
+/// The distribution of service times, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceTime {
-    /// Always the same.
+    /// The same time for each call.
     Fixed(Micros),
     /// Exponentially distributed with this mean.
     Exponential(Micros),
 }
 
-/// The body of a call to a stage pool or a plain service.
+/// The body of a call to a stage or a plain service.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Call {
     pub(crate) call: String,
@@ -39,7 +40,7 @@
     pub(crate) previous: Value,
 }
 
-/// The answer to a call.
+/// The body of the response to a call.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Answer {
     pub(crate) call: String,
@@ -47,11 +48,11 @@
     pub(crate) busy_us: u64,
 }
 
-/// The working part of a fake.
+/// Runs the calls of a fake stage or service.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) slots: Slots,
-    pub(crate) faults: Switch,
+    pub(crate) faults: FaultSwitch,
     queue: usize,
     time: ServiceTime,
     rng: Mutex<StdRng>,
@@ -62,7 +63,7 @@
     pub(crate) fn new(capacity: usize, queue: usize, time: ServiceTime, seed: u64) -> Self {
         Self {
             slots: Slots::new(capacity),
-            faults: Switch::new(seed),
+            faults: FaultSwitch::new(seed),
             queue,
             time,
             rng: Mutex::new(StdRng::seed_from_u64(seed)),
@@ -70,10 +71,10 @@
         }
     }
 
-    /// Says why a call is not taken, if it is not.
+    /// Returns the response that refuses a new call, or `None` if the call can be taken.
     pub(crate) fn refusal(&self) -> Option<Reply> {
         if self.faults.get().draining {
-            return Some(http::leaving());
+            return Some(http::draining());
         }
         if self.slots.load(Duration::ZERO).waiting >= self.queue {
             return Some(http::error(StatusCode::TOO_MANY_REQUESTS, "the queue is full"));
@@ -81,43 +82,43 @@
         None
     }
 
-    /// Waits for a place and runs there for the service time; returns the time the place was held.
-    pub(crate) async fn run(&self, priority: u8, fate: &Fate) -> Option<Duration> {
-        let place = self.slots.take(priority).await?;
-        if fate.hang {
+    /// Waits for a slot and occupies it for the service time. Returns how long the slot was occupied.
+    pub(crate) async fn run(&self, priority: u8, faults: &CallFaults) -> Option<Duration> {
+        let slot = self.slots.acquire(priority).await?;
+        if faults.hang {
             std::future::pending::<()>().await;
         }
-        let time = self.sample().mul_f64(fate.slow);
+        let time = self.draw_service_time().mul_f64(faults.slow);
         if !time.is_zero() {
             tokio::time::sleep(time).await;
         }
-        Some(place.held())
+        Some(slot.held())
     }
 
-    /// Builds the answer, with whatever befalls it.
-    pub(crate) async fn reply(&self, mut answer: Answer, fate: &Fate) -> Reply {
-        if !fate.late.is_zero() {
-            tokio::time::sleep(fate.late).await;
+    /// Builds the response, with the faults of the call applied.
+    pub(crate) async fn reply(&self, mut answer: Answer, faults: &CallFaults) -> Reply {
+        if !faults.late.is_zero() {
+            tokio::time::sleep(faults.late).await;
         }
         let call = answer.call.clone();
-        let last = self.lock_last().replace(answer.clone());
-        let mut shown = call.clone();
-        if fate.swap_body || fate.swap_echo {
-            if let Some(last) = last {
-                answer = last;
+        let previous = self.lock_last().replace(answer.clone());
+        let mut echoed_id = call.clone();
+        if faults.swap_body || faults.swap_echo {
+            if let Some(previous) = previous {
+                answer = previous;
             } else {
-                answer.call = http::NO_CALL.to_owned();
+                answer.call = http::NIL_CALL_ID.to_owned();
             }
         }
-        if fate.swap_echo {
-            shown = answer.call.clone();
+        if faults.swap_echo {
+            echoed_id = answer.call.clone();
         }
-        let mut reply = if fate.cut {
-            http::half(StatusCode::OK, &answer)
+        let mut reply = if faults.cut {
+            http::truncated_json(StatusCode::OK, &answer)
         } else {
             http::json(StatusCode::OK, &answer)
         };
-        http::echo(&mut reply, &shown);
+        http::set_call_id(&mut reply, &echoed_id);
         reply
     }
 
@@ -125,7 +126,7 @@
         self.last.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn sample(&self) -> Duration {
+    fn draw_service_time(&self) -> Duration {
         match self.time {
             ServiceTime::Fixed(time) => time.into(),
             ServiceTime::Exponential(mean) => {
@@ -137,9 +138,9 @@
     }
 }
 
-/// Reads a call, or answers what is wrong with it.
+/// Parses a call, or returns the response that reports its error.
 #[allow(clippy::result_large_err)]
-pub(crate) fn read(request: &Request<Bytes>) -> Result<Call, Reply> {
+pub(crate) fn parse_call(request: &Request<Bytes>) -> Result<Call, Reply> {
     let call: Call = serde_json::from_slice(request.body())
         .map_err(|e| http::error(StatusCode::BAD_REQUEST, &e.to_string()))?;
     match http::call_id(request) {
@@ -148,8 +149,9 @@
     }
 }
 
-/// Adds a stage to the chain of the output before, with the markers of the input.
-pub(crate) fn chain(call: &Call) -> Value {
+/// Builds the output of a call: the chain of the previous output, extended by this stage with the
+/// markers of its input.
+pub(crate) fn build_output(call: &Call) -> Value {
     let marker = crate::marker::find(&call.input.to_string()).join("+");
     let own = json!({"stage": call.stage, "marker": marker});
     let mut links = match call.previous.get("chain") {
@@ -161,8 +163,8 @@
     json!({"stage": call.stage, "marker": marker, "chain": links})
 }
 
-/// Answers `GET /v1/load`.
-pub(crate) fn load(slots: &Slots, lag: Duration, draining: bool) -> Reply {
+/// Builds the response to `GET /v1/load`, with the load as it was before `lag`.
+pub(crate) fn load_reply(slots: &Slots, lag: Duration, draining: bool) -> Reply {
     let load = slots.load(lag);
     let body = json!({"running": load.running, "waiting": load.waiting, "draining": draining});
     http::json(StatusCode::OK, &body)
--- a/crates/standins/tests/load.rs
+++ b/crates/standins/tests/load.rs
@@ -1,10 +1,13 @@
-//! The load tool's account of what callers got.
+//! The load tool's stats of what callers got.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use standins::load::{self, Account, Ask, Attempt, Class, Fate, Scenario, Step, Verdict, verify};
+use standins::load::{
+    self, AttemptResult, CallerAction, CallerRequest, CallerStats, Class, RequestResult, Scenario,
+    Verdict, verify,
+};
 use types::{Millis, Outcome, Priority, Rate};
 
 const PAUSE: Duration = Duration::from_millis(100);
@@ -25,45 +28,49 @@
     }
 }
 
-fn ask(once: bool) -> Ask {
-    Ask { class: Arc::new(class(once)), marker: "1-7".to_owned(), budget: Duration::from_secs(1) }
+fn request(once: bool) -> CallerRequest {
+    CallerRequest {
+        class: Arc::new(class(once)),
+        marker: "1-7".to_owned(),
+        budget: Duration::from_secs(1),
+    }
 }
 
-fn other(outcome: Outcome, status: u16, retry: Option<u64>) -> Attempt {
-    Attempt::Other { outcome, status, retry: retry.map(Duration::from_millis) }
+fn other(outcome: Outcome, status: u16, retry_after: Option<u64>) -> AttemptResult {
+    AttemptResult::Other { outcome, status, retry_after: retry_after.map(Duration::from_millis) }
 }
 
 #[test]
 fn each_answer_is_taken_for_what_it_is() {
     struct Case {
         name: &'static str,
-        attempt: Attempt,
+        attempt: AttemptResult,
         late: bool,
         once: bool,
-        step: Step,
+        step: CallerAction,
     }
-    let own = Attempt::Complete(json!("marker=1-7 1.aaaa 2.bbbb"));
+    let own = AttemptResult::Complete(json!("marker=1-7 1.aaaa 2.bbbb"));
     let case = |name, attempt, step| Case { name, attempt, late: false, once: false, step };
-    let resend = |ms| Step::Resend(Duration::from_millis(ms));
+    let resend = |ms| CallerAction::Resend(Duration::from_millis(ms));
     let cases = [
-        case("complete", own.clone(), Step::Done(Fate::InTime)),
-        Case { late: true, ..case("late", own, Step::Done(Fate::Late)) },
+        case("complete", own.clone(), CallerAction::Done(RequestResult::InTime)),
+        Case { late: true, ..case("late", own, CallerAction::Done(RequestResult::Late)) },
         case(
             "another's",
-            Attempt::Complete(json!("marker=1-8 1.aaaa 2.bbbb")),
-            Step::Done(Fate::Crossed),
+            AttemptResult::Complete(json!("marker=1-8 1.aaaa 2.bbbb")),
+            CallerAction::Done(RequestResult::Crossed),
         ),
         case(
             "a token short",
-            Attempt::Complete(json!("marker=1-7 1.aaaa")),
-            Step::Done(Fate::Incomplete),
+            AttemptResult::Complete(json!("marker=1-7 1.aaaa")),
+            CallerAction::Done(RequestResult::Incomplete),
         ),
         case("refused", other(Outcome::NotRun, 429, Some(700)), resend(700)),
         case("refused without time", other(Outcome::NotRun, 503, None), resend(100)),
         case(
             "not allowed",
             other(Outcome::NotRun, 403, None),
-            Step::Done(Fate::Given(Outcome::NotRun)),
+            CallerAction::Done(RequestResult::Other(Outcome::NotRun)),
         ),
         case("failed, repeatable", other(Outcome::Failed, 502, None), resend(100)),
         Case {
@@ -71,7 +78,7 @@
             ..case(
                 "failed, not repeatable",
                 other(Outcome::Failed, 502, None),
-                Step::Done(Fate::Given(Outcome::Failed)),
+                CallerAction::Done(RequestResult::Other(Outcome::Failed)),
             )
         },
         Case {
@@ -83,17 +90,17 @@
             ..case(
                 "lost",
                 other(Outcome::Unknown, 504, None),
-                Step::Done(Fate::Given(Outcome::Unknown)),
+                CallerAction::Done(RequestResult::Other(Outcome::Unknown)),
             )
         },
-        case("no connection", Attempt::Refused, resend(100)),
-        case("broken off", Attempt::Broken, resend(100)),
+        case("no connection", AttemptResult::Refused, resend(100)),
+        case("broken off", AttemptResult::Broken, resend(100)),
     ];
     for case in cases {
-        let mut account = Account::default();
-        let step = account.take(&ask(case.once), &case.attempt, case.late, PAUSE);
+        let mut stats = CallerStats::default();
+        let step = stats.record(&request(case.once), &case.attempt, case.late, PAUSE);
         assert_eq!(step, case.step, "{}", case.name);
-        assert_eq!(account.attempts, 1, "{}", case.name);
+        assert_eq!(stats.attempts, 1, "{}", case.name);
     }
 }
 
@@ -108,12 +115,12 @@
     let cases = [
         Case { output: chain("a"), tokens: 0, verdict: Verdict::Own },
         Case { output: chain("b"), tokens: 0, verdict: Verdict::Crossed },
-        Case { output: json!({"text": "none"}), tokens: 0, verdict: Verdict::Broken },
+        Case { output: json!({"text": "none"}), tokens: 0, verdict: Verdict::Incomplete },
         Case { output: json!("marker=a 1.x 2.y"), tokens: 3, verdict: Verdict::Own },
         Case { output: json!("marker=a+marker=b 1.x 2.y"), tokens: 3, verdict: Verdict::Crossed },
-        Case { output: json!("marker=a 1.x 1.x"), tokens: 3, verdict: Verdict::Broken },
-        Case { output: json!("marker=a 2.y 3.z"), tokens: 3, verdict: Verdict::Broken },
-        Case { output: json!({"text": "marker=a 1.x"}), tokens: 3, verdict: Verdict::Broken },
+        Case { output: json!("marker=a 1.x 1.x"), tokens: 3, verdict: Verdict::Incomplete },
+        Case { output: json!("marker=a 2.y 3.z"), tokens: 3, verdict: Verdict::Incomplete },
+        Case { output: json!({"text": "marker=a 1.x"}), tokens: 3, verdict: Verdict::Incomplete },
     ];
     for case in cases {
         assert_eq!(verify(&case.output, "a", case.tokens), case.verdict, "{}", case.output);
@@ -123,12 +130,12 @@
 /// Answers each request at the second sending; the first is refused.
 struct Second(std::sync::Mutex<std::collections::HashSet<String>>);
 
-impl load::Path for Second {
-    async fn send(&self, ask: Ask) -> Attempt {
-        if self.0.lock().unwrap().insert(ask.marker.clone()) {
+impl load::Transport for Second {
+    async fn send(&self, request: CallerRequest) -> AttemptResult {
+        if self.0.lock().unwrap().insert(request.marker.clone()) {
             return other(Outcome::NotRun, 429, Some(1));
         }
-        Attempt::Complete(json!(format!("marker={} 1.x 2.y", ask.marker)))
+        AttemptResult::Complete(json!(format!("marker={} 1.x 2.y", request.marker)))
     }
 }
 
