--- a/crates/standins/examples/capacity/cluster.rs
+++ b/crates/standins/examples/capacity/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes of one size: three control members, the entries, and the upstreams' fakes.
+//! The processes of one measurement: three control members, the entries and the fake upstreams.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,22 +12,24 @@
 use tokio::task::JoinHandle;
 use types::{Micros, StepError, StepResult};
 
-use crate::common::{self, Http, TOKEN, control, drop_nulls, entry, free, until};
+use crate::common::{
+    self, Http, TOKEN, control_settings, drop_nulls, entry_settings, free_address, retry,
+};
 use crate::http;
 use crate::sample::Usage;
 use crate::service::{self, SITES};
 use crate::{RATE, Sizes};
 
-const CONTROLS: usize = 3;
-const ENGINES: usize = 4;
+const CONTROL_COUNT: usize = 3;
+const ENGINE_COUNT: usize = 4;
 
-/// How long a call of an upstream takes.
-const CALL: Micros = Micros(5_000);
+/// The service time of a stage call.
+const CALL_TIME: Micros = Micros(5_000);
 
-/// The time between tokens: a stream carries 50 a second.
+/// The time between tokens; a stream has 50 tokens per second.
 const TOKEN_TIME: Micros = Micros(20_000);
 
-/// Running processes; dropping them ends them.
+/// The running processes. Dropping this kills them.
 pub(crate) struct Cluster {
     controls: Vec<(Child, SocketAddr)>,
     entries: Vec<(Child, SocketAddr)>,
@@ -40,54 +42,59 @@
 }
 
 impl Cluster {
-    /// Starts all, with a service in force at each entry.
+    /// Starts all processes and waits until the service document is in force at each entry.
     pub(crate) async fn start(binary: &Path, sizes: Sizes) -> StepResult<Self> {
         let folder = tempfile::tempdir().map_err(|e| StepError::new("create folder", e))?;
         let mut fakes = Vec::new();
         for _ in 0..sizes.upstreams {
-            let time = ServiceTime::Fixed(CALL);
+            let time = ServiceTime::Fixed(CALL_TIME);
             fakes.push(stage::spawn(stage::Config { time, ..Default::default() }).await?);
         }
         let mut engines = Vec::new();
-        for _ in 0..ENGINES {
+        for _ in 0..ENGINE_COUNT {
             let config =
                 engine::Config { capacity: 1_000, token: TOKEN_TIME, ..Default::default() };
             engines.push(engine::spawn(config).await?);
         }
-        let members: Vec<Member> = (0..CONTROLS).map(member).collect();
+        let members: Vec<Member> = (0..CONTROL_COUNT).map(member).collect();
         let mut it = Self {
             controls: Vec::new(),
             entries: Vec::new(),
             upstreams: fakes.iter().map(Stage::address).collect(),
             sizes,
-            client: common::open(),
+            client: common::http_client(),
             _fakes: fakes,
             engines,
             _folder: folder,
         };
-        for number in 0..CONTROLS {
+        for number in 0..CONTROL_COUNT {
             let data = it._folder.path().join(format!("data-{number}"));
             std::fs::create_dir_all(&data).map_err(|e| StepError::new("create folder", e))?;
-            let settings = NodeSettings { control: Some(control(data)), ..node(number, &members) };
+            let settings = NodeSettings {
+                control: Some(control_settings(data)),
+                ..node_settings(number, &members)
+            };
             let child = it.spawn(binary, "control", number, &settings)?;
             it.controls.push((child, members[number].http));
         }
-        until("init", || it.operate(0, "/v1/init", json!({}))).await?;
+        retry("init", || it.post_as_operator(0, "/v1/init", json!({}))).await?;
         it.apply(0).await?;
         for number in 0..sizes.entries {
-            let listen = free();
-            let settings =
-                NodeSettings { entry: Some(entry(listen)), ..node(CONTROLS + number, &members) };
+            let listen = free_address();
+            let settings = NodeSettings {
+                entry: Some(entry_settings(listen)),
+                ..node_settings(CONTROL_COUNT + number, &members)
+            };
             let child = it.spawn(binary, "entry", number, &settings)?;
             it.entries.push((child, listen));
         }
         for (_, entry) in &it.entries {
-            until("ready", || http::get(&it.client, *entry, "/readyz")).await?;
+            retry("ready", || http::get(&it.client, *entry, "/readyz")).await?;
         }
         Ok(it)
     }
 
-    /// Reads what each process has used; control members first.
+    /// Reads the resource usage of each process, control members first.
     pub(crate) async fn usages(&self) -> StepResult<Vec<Usage>> {
         let mut usages = Vec::new();
         for (child, address) in self.controls.iter().chain(&self.entries) {
@@ -97,7 +104,7 @@
         Ok(usages)
     }
 
-    /// Applies a change and returns how long it took until it was in force at every entry.
+    /// Applies a change and returns the time until it was in force at every entry.
     pub(crate) async fn change(&self, number: u64) -> StepResult<Duration> {
         let from = Instant::now();
         let version = self.apply(number).await?;
@@ -114,11 +121,12 @@
         Ok(from.elapsed())
     }
 
-    /// Sends requests to every entry at [`RATE`] for `span`; returns how many were complete.
+    /// Sends requests to every entry at [`RATE`] for `span`. Returns the number of requests that
+    /// were answered successfully.
     pub(crate) fn call(&self, span: Duration) -> JoinHandle<u64> {
         let tasks = self.entries.iter().enumerate().map(|(number, (_, entry))| {
             let (client, entry, customers) = (self.client.clone(), *entry, self.sizes.customers);
-            tokio::spawn(async move { call_one(client, entry, customers, number, span).await })
+            tokio::spawn(async move { send_requests(client, entry, customers, number, span).await })
         });
         let tasks: Vec<_> = tasks.collect();
         tokio::spawn(async move {
@@ -130,12 +138,13 @@
         })
     }
 
-    /// Keeps token streams under way through every entry for `span`; returns the tokens received.
+    /// Keeps token streams open through every entry for `span`. Returns the number of tokens
+    /// received.
     pub(crate) fn stream(&self, span: Duration) -> JoinHandle<u64> {
         let until = Instant::now() + span;
-        let ways = self.entries.iter().flat_map(|(_, entry)| vec![*entry; self.sizes.streams]);
-        let one = |entry| tokio::spawn(stream_one(self.client.clone(), entry, until));
-        let tasks: Vec<_> = ways.map(one).collect();
+        let targets = self.entries.iter().flat_map(|(_, entry)| vec![*entry; self.sizes.streams]);
+        let one = |entry| tokio::spawn(read_streams(self.client.clone(), entry, until));
+        let tasks: Vec<_> = targets.map(one).collect();
         tokio::spawn(async move {
             let mut sum = 0;
             for task in tasks {
@@ -145,20 +154,21 @@
         })
     }
 
+    /// Applies the document of version `number + 1` and returns the version.
     async fn apply(&self, number: u64) -> StepResult<u64> {
         let engines: Vec<_> = self.engines.iter().map(Engine::address).collect();
         let customers = self.sizes.customers;
         let document = service::document(&self.upstreams, &engines, customers, number);
         let id = uuid::Uuid::new_v4();
         let change = json!({"id": id, "base": number, "document": document});
-        let answer = until("apply", || {
-            self.operate(number as usize % CONTROLS, "/v1/changes", change.clone())
+        let answer = retry("apply", || {
+            self.post_as_operator(number as usize % CONTROL_COUNT, "/v1/changes", change.clone())
         });
         let answer: Value = serde_json::from_str(&answer.await?).unwrap_or_default();
         answer["version"].as_u64().ok_or_else(|| StepError::new("apply", answer.to_string()))
     }
 
-    async fn operate(&self, member: usize, path: &str, body: Value) -> StepResult<String> {
+    async fn post_as_operator(&self, member: usize, path: &str, body: Value) -> StepResult<String> {
         http::post(&self.client, self.controls[member].1, path, TOKEN, &body).await
     }
 
@@ -170,15 +180,15 @@
         settings: &NodeSettings,
     ) -> StepResult<Child> {
         let name = format!("{kind}-{number}");
-        let fault = |e: std::io::Error| StepError::new("start process", e).at(&name);
+        let start_error = |e: std::io::Error| StepError::new("start process", e).at(&name);
         let file = self._folder.path().join(format!("{name}.json"));
         let mut value = serde_json::to_value(settings).unwrap_or_default();
         drop_nulls(&mut value);
-        std::fs::write(&file, value.to_string()).map_err(fault)?;
+        std::fs::write(&file, value.to_string()).map_err(start_error)?;
         let mut command = Command::new(binary);
         command.arg(kind).arg("--settings").arg(&file);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
-        command.spawn().map_err(fault)
+        command.spawn().map_err(start_error)
     }
 }
 
@@ -191,7 +201,7 @@
     }
 }
 
-async fn call_one(
+async fn send_requests(
     client: Http,
     entry: SocketAddr,
     customers: usize,
@@ -213,7 +223,7 @@
     complete
 }
 
-async fn stream_one(client: Http, entry: SocketAddr, until: Instant) -> u64 {
+async fn read_streams(client: Http, entry: SocketAddr, until: Instant) -> u64 {
     let mut tokens = 0;
     let mut number = 0_u64;
     while Instant::now() < until {
@@ -232,8 +242,8 @@
     Member {
         vm: vm(number),
         site: SITES[number % SITES.len()].parse().expect("a valid name"),
-        wire: free(),
-        http: free(),
+        wire: free_address(),
+        http: free_address(),
         spare: false,
     }
 }
@@ -242,7 +252,7 @@
     format!("vm-{number}").parse().expect("a valid name")
 }
 
-fn node(number: usize, members: &[Member]) -> NodeSettings {
+fn node_settings(number: usize, members: &[Member]) -> NodeSettings {
     let site = SITES[number % SITES.len()];
     NodeSettings {
         vm: vm(number),
--- a/crates/standins/examples/capacity/http.rs
+++ b/crates/standins/examples/capacity/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP calls of the measurement.
+//! HTTP calls of the measurement, and the printing of its results.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -9,17 +9,17 @@
 
 use crate::common::{Http, send};
 
-/// Prints a line.
-pub(crate) fn say(line: &str) {
+/// Prints a line to standard output.
+pub(crate) fn print_line(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-/// Gets a text.
+/// Sends a GET request and returns the text of the response.
 pub(crate) async fn get(client: &Http, address: SocketAddr, path: &str) -> StepResult<String> {
     send(client, Request::get(format!("http://{address}{path}")), String::new()).await
 }
 
-/// Posts JSON with a bearer key.
+/// Sends a POST request with JSON and a bearer key, and returns the text of the response.
 pub(crate) async fn post(
     client: &Http,
     address: SocketAddr,
@@ -30,7 +30,8 @@
     send(client, request(address, path, key), body.to_string()).await
 }
 
-/// Posts JSON with a bearer key and reads the whole stream of events.
+/// Sends a POST request like [`post`] that asks for a stream of events, and reads the stream to its
+/// end.
 pub(crate) async fn stream(
     client: &Http,
     address: SocketAddr,
--- a/crates/standins/examples/capacity/main.rs
+++ b/crates/standins/examples/capacity/main.rs
@@ -1,5 +1,5 @@
-//! Measures the slopes of docs/CAPACITY.md: what control costs each process at several numbers of
-//! entries, upstreams and customers, on loopback.
+//! Measures the figures of docs/CAPACITY.md: the CPU time, memory and traffic that control costs
+//! each process on loopback, at several numbers of entries, upstreams and customers.
 //!
 //! `cargo run --release -p mothplank-standins --example capacity -- --binary PATH`
 
@@ -19,27 +19,27 @@
 use cluster::Cluster;
 use sample::Sample;
 
-/// How long a cluster settles before it is measured.
-const SETTLE: Duration = Duration::from_secs(3);
+/// The time between the start of a cluster and its measurement.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// How many changes are timed.
-const CHANGES: u64 = 5;
+/// The number of changes whose time to come into force is measured.
+const CHANGE_COUNT: u64 = 5;
 
-/// Requests a second at each entry where the run asks for load: 2,300 over 380 nodes.
+/// The requests per second at each entry with `--load`: 2,300 per second over 380 nodes.
 pub(crate) const RATE: f64 = 6.0;
 
-/// The sizes of one run.
+/// The sizes of one cluster.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sizes {
-    /// Entry processes.
+    /// The number of entry processes.
     pub(crate) entries: usize,
-    /// Upstreams in one pool.
+    /// The number of upstreams in the stage pool.
     pub(crate) upstreams: usize,
-    /// Customers.
+    /// The number of customers.
     pub(crate) customers: usize,
-    /// Whether requests come in.
+    /// Whether requests are sent.
     pub(crate) load: bool,
-    /// Streams of tokens under way at once through each entry.
+    /// The number of token streams open at once through each entry.
     pub(crate) streams: usize,
 }
 
@@ -47,14 +47,14 @@
 async fn main() -> StepResult<()> {
     env_logger::init();
     let args = command().get_matches();
-    let one = |name: &str| args.get_many::<usize>(name).unwrap_or_default().copied();
+    let values = |name: &str| args.get_many::<usize>(name).unwrap_or_default().copied();
     let seconds = Duration::from_secs(args.get_one::<u64>("seconds").copied().unwrap_or(20));
-    http::say(Sample::header());
-    for entries in one("entries") {
-        for upstreams in one("upstreams") {
-            for customers in one("customers") {
+    http::print_line(Sample::header());
+    for entries in values("entries") {
+        for upstreams in values("upstreams") {
+            for customers in values("customers") {
                 let load = args.get_flag("load");
-                for streams in one("streams") {
+                for streams in values("streams") {
                     let sizes = Sizes { entries, upstreams, customers, load, streams };
                     run(&args, sizes, seconds).await?;
                 }
@@ -67,9 +67,9 @@
 async fn run(args: &ArgMatches, sizes: Sizes, seconds: Duration) -> StepResult<()> {
     let binary = args.get_one::<PathBuf>("binary").expect("clap requires it");
     let cluster = Cluster::start(binary, sizes).await?;
-    let callers = sizes.load.then(|| cluster.call(SETTLE + seconds));
-    let tokens = cluster.stream(SETTLE + seconds);
-    tokio::time::sleep(SETTLE).await;
+    let callers = sizes.load.then(|| cluster.call(SETTLE_TIME + seconds));
+    let tokens = cluster.stream(SETTLE_TIME + seconds);
+    tokio::time::sleep(SETTLE_TIME).await;
     let before = cluster.usages().await?;
     let from = Instant::now();
     tokio::time::sleep(seconds).await;
@@ -81,11 +81,11 @@
     };
     let tokens = tokens.await.unwrap_or(0);
     let mut in_force = Vec::new();
-    for number in 1..=CHANGES {
+    for number in 1..=CHANGE_COUNT {
         in_force.push(cluster.change(number).await?);
     }
     let sample = Sample { sizes, before, after, seconds: took, answered, tokens, in_force };
-    http::say(&sample.row());
+    http::print_line(&sample.row());
     Ok(())
 }
 
--- a/crates/standins/examples/capacity/service.rs
+++ b/crates/standins/examples/capacity/service.rs
@@ -1,29 +1,30 @@
-//! The service of a size: one pool, one pipeline, many customers.
+//! The service document of a cluster: a stage pool, an engine pool, a pipeline for each, and many
+//! customers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
 
-use crate::common::hash;
+use crate::common::key_hash;
 
-/// The sites.
+/// The names of the sites.
 pub(crate) const SITES: [&str; 4] = ["north", "east", "south", "west"];
 
-/// The tokens of one stream.
-pub(crate) const STREAM: u64 = 200;
+/// The number of tokens of one stream.
+pub(crate) const STREAM_TOKENS: u64 = 200;
 
 /// Returns a customer's bearer key.
 pub(crate) fn key(customer: usize) -> String {
     format!("key-of-customer-{customer}")
 }
 
-/// Builds the document; `mark` is what changes from one version to the next.
+/// Builds the document. `change` must differ between versions; it is subtracted from a deadline.
 pub(crate) fn document(
     upstreams: &[SocketAddr],
     engines: &[SocketAddr],
     customers: usize,
-    mark: u64,
+    change: u64,
 ) -> Value {
     let sites = SITES.iter().map(|it| (*it, json!({"region": "one", "domain": it})));
     let upstreams = upstreams.iter().enumerate().map(|(number, address)| {
@@ -37,7 +38,7 @@
     let customers = (0..customers).map(|number| {
         let limits = json!({"rate": 1000.0, "concurrency": 200});
         let body = json!({
-            "keys": [hash(&key(number))], "priority": number % 4,
+            "keys": [key_hash(&key(number))], "priority": number % 4,
             "pipelines": ["one", "tokens"], "limits": limits,
         });
         (format!("customer-{number}"), body)
@@ -58,10 +59,10 @@
         }},
         "pipelines": {"one": {
             "stages": [{"name": "encode", "pool": "encode", "expected": 5}],
-            "deadline": 7000 - mark,
+            "deadline": 7000 - change,
         }, "tokens": {
             "stages": [{
-                "name": "generate", "pool": "generate", "tokens": STREAM, "expected": 4_000,
+                "name": "generate", "pool": "generate", "tokens": STREAM_TOKENS, "expected": 4_000,
             }],
             "deadline": 7000,
         }},
--- a/crates/standins/examples/common/mod.rs
+++ b/crates/standins/examples/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the example programs share: settings of the product's processes, and calls to them.
+//! Common parts of the examples: settings of mothplank's processes, and HTTP calls to them.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 use std::path::PathBuf;
@@ -14,42 +14,43 @@
 use sha2::{Digest, Sha256};
 use types::{ByteSize, Millis, StepError, StepResult};
 
-/// The operator's key.
+/// The operator's bearer token.
 pub(crate) const TOKEN: &str = "token-of-the-operator";
 
-/// How often, and how long after each other, a step of the start is tried.
-const TRIES: u32 = 600;
-const PAUSE: Duration = Duration::from_millis(50);
+/// The maximum number of attempts of a step.
+const MAX_ATTEMPTS: u32 = 600;
+/// The pause between two attempts of a step.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// A client that keeps its connections.
+/// An HTTP client that keeps its connections open.
 pub(crate) type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// Opens a client.
-pub(crate) fn open() -> Http {
+/// Creates a client.
+pub(crate) fn http_client() -> Http {
     Client::builder(TokioExecutor::new()).build_http()
 }
 
-/// Returns what the product keeps of a key.
-pub(crate) fn hash(text: &str) -> String {
+/// Returns the SHA-256 of a key in hexadecimal, the form in which settings store keys.
+pub(crate) fn key_hash(text: &str) -> String {
     Sha256::digest(text.as_bytes()).iter().map(|it| format!("{it:02x}")).collect()
 }
 
 /// Returns the settings of a control member with one operator.
 ///
 /// # Panics
-/// Never: the operator's name is valid.
-pub(crate) fn control(data: PathBuf) -> ControlPart {
+/// Never panics, because the operator's name is valid.
+pub(crate) fn control_settings(data: PathBuf) -> ControlPart {
     let name = "operator".parse().expect("a valid name");
-    let operators = vec![Operator { name, token: hash(TOKEN) }];
+    let operators = vec![Operator { name, token: key_hash(TOKEN) }];
     ControlPart { data, operators, platform: None, log_size: ByteSize(8 << 20) }
 }
 
 /// Returns the settings of an entry.
-pub(crate) fn entry(listen: SocketAddr) -> EntryPart {
+pub(crate) fn entry_settings(listen: SocketAddr) -> EntryPart {
     EntryPart { listen, threads: 4, connections: 4_096, notice: Millis(200) }
 }
 
-/// Removes absent fields: a settings file leaves them out.
+/// Removes fields with the value `null`: settings files leave absent fields out.
 pub(crate) fn drop_nulls(value: &mut Value) {
     if let Value::Object(fields) = value {
         fields.retain(|_, it| !it.is_null());
@@ -57,11 +58,11 @@
     }
 }
 
-/// Returns an address that is free for TCP and UDP.
+/// Returns a loopback address whose port is free for both TCP and UDP.
 ///
 /// # Panics
-/// Where the system has no free port.
-pub(crate) fn free() -> SocketAddr {
+/// Panics if the system has no free port.
+pub(crate) fn free_address() -> SocketAddr {
     loop {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
         let address = listener.local_addr().expect("a bound address");
@@ -71,10 +72,10 @@
     }
 }
 
-/// Sends a request and returns its answer's text.
+/// Sends a request and returns the text of the response.
 ///
 /// # Errors
-/// Where there is no answer, or one that says that it failed.
+/// Returns an error if there is no response, or if its status is not a success.
 pub(crate) async fn send(
     client: &Http,
     request: ::http::request::Builder,
@@ -92,21 +93,21 @@
     Ok(text)
 }
 
-/// Tries a step until it is done.
+/// Retries a step until it succeeds.
 ///
 /// # Errors
-/// With the last try's where none succeeds.
-pub(crate) async fn until<T, F: Future<Output = StepResult<T>>>(
+/// Returns the error of the last attempt if none succeeds.
+pub(crate) async fn retry<T, F: Future<Output = StepResult<T>>>(
     step: &'static str,
     f: impl Fn() -> F,
 ) -> StepResult<T> {
     let mut last = StepError::new(step, "not tried");
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match f().await {
-            Ok(done) => return Ok(done),
+            Ok(value) => return Ok(value),
             Err(e) => last = e,
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     Err(StepError::new(step, last))
 }
--- a/crates/standins/examples/scenarios/cases.rs
+++ b/crates/standins/examples/scenarios/cases.rs
@@ -1,4 +1,4 @@
-//! The cases: what load, and what goes wrong when.
+//! The cases: the load of each, and the faults with their times.
 
 use std::time::Duration;
 
@@ -9,41 +9,41 @@
 use crate::document;
 use crate::sizes::{Pipeline, Size};
 
-/// How long requests arrive.
+/// For how long requests arrive.
 pub(crate) const LENGTH: Duration = Duration::from_secs(20);
-/// When the burst or fault begins.
+/// The start of the burst or fault.
 pub(crate) const FROM: Duration = Duration::from_secs(5);
-/// When it ends.
+/// The end of the burst or fault.
 pub(crate) const TO: Duration = Duration::from_secs(15);
 
-/// How much of a pool's places a burst asks for.
-const BURST: f64 = 1.5;
-/// How much slower the straggler is.
-const SLOW: f64 = 10.0;
+/// The load of a burst, as a multiple of a pool's slots.
+const BURST_LOAD: f64 = 1.5;
+/// The factor by which a slow replica is slower than the others.
+const SLOW_FACTOR: f64 = 10.0;
 
-/// One case.
+/// A case: a load and the events during it.
 pub(crate) struct Case {
-    /// Its name.
+    /// The name of the case.
     pub(crate) name: &'static str,
-    /// What arrives.
+    /// The classes of requests that arrive.
     pub(crate) classes: Vec<Class>,
-    /// What happens, in order of time from the start.
+    /// The events with their times since the start, ordered by time.
     pub(crate) events: Vec<(Duration, Event)>,
 }
 
-/// Something that happens.
+/// An event during a run.
 pub(crate) enum Event {
-    /// Upstreams show faults.
-    Faults(Which, Faults),
-    /// Entries and control no longer hear each other.
+    /// The faults of some upstreams are replaced.
+    Faults(UpstreamSet, Faults),
+    /// The connections between entries and control are cut.
     CutDigest,
-    /// They do again.
+    /// Entries and control can connect again.
     HealDigest,
 }
 
-/// Upstreams of a fleet.
+/// A set of upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Which {
+pub(crate) enum UpstreamSet {
     /// The first engine.
     OneEngine,
     /// Every third engine.
@@ -52,13 +52,14 @@
     LastSite,
 }
 
-impl Which {
-    /// Tells whether an upstream belongs to it: the number in its pool, and that of its site.
-    pub(crate) fn has(self, pool: &str, number: usize, site: usize) -> bool {
+impl UpstreamSet {
+    /// Returns whether the set contains an upstream, given its pool, its index in the pool and the
+    /// index of its site.
+    pub(crate) fn contains(self, pool: &str, number: usize, site: usize) -> bool {
         match self {
-            Which::OneEngine => pool == "generate" && number == 0,
-            Which::ThirdOfEngines => pool == "generate" && number % 3 == 1,
-            Which::LastSite => site == document::SITES.len() - 1,
+            UpstreamSet::OneEngine => pool == "generate" && number == 0,
+            UpstreamSet::ThirdOfEngines => pool == "generate" && number % 3 == 1,
+            UpstreamSet::LastSite => site == document::SITES.len() - 1,
         }
     }
 }
@@ -66,9 +67,9 @@
 /// Returns all cases of a size.
 pub(crate) fn all(size: &Size) -> Vec<Case> {
     let down = || Faults { down: true, ..Faults::default() };
-    let slow = || Faults { slow: SLOW, ..Faults::default() };
-    let span = |which, faults| {
-        vec![(FROM, Event::Faults(which, faults)), (TO, Event::Faults(which, Faults::default()))]
+    let slow = || Faults { slow: SLOW_FACTOR, ..Faults::default() };
+    let span = |set, faults| {
+        vec![(FROM, Event::Faults(set, faults)), (TO, Event::Faults(set, Faults::default()))]
     };
     let cut = || vec![(FROM, Event::CutDigest), (TO, Event::HealDigest)];
     let case = |name, burst: Option<&str>, events| {
@@ -80,26 +81,26 @@
         case("steady", None, Vec::new()),
         case("burst-generation", generation, Vec::new()),
         case("burst-retrieval", Some("retrieve"), Vec::new()),
-        case("slow-replica", None, span(Which::OneEngine, slow())),
-        case("third-killed", generation, span(Which::ThirdOfEngines, down())),
-        case("site-gone", None, span(Which::LastSite, down())),
+        case("slow-replica", None, span(UpstreamSet::OneEngine, slow())),
+        case("third-killed", generation, span(UpstreamSet::ThirdOfEngines, down())),
+        case("site-gone", None, span(UpstreamSet::LastSite, down())),
         case("digest-cut", None, cut()),
-        case("burst-and-slow", generation, span(Which::OneEngine, slow())),
+        case("burst-and-slow", generation, span(UpstreamSet::OneEngine, slow())),
         case("burst-and-cut", generation, cut()),
     ]
 }
 
 fn class(size: &Size, pipeline: &Pipeline, burst: Option<&str>) -> Class {
     let rate = size.rate(pipeline);
-    let grows = match burst {
+    let has_burst = match burst {
         Some("generate") => pipeline.tokens > 100,
         Some(_) => pipeline.tokens == 0,
         None => false,
     };
-    let bursts = burst.filter(|_| grows).map(|pool| Burst {
+    let bursts = burst.filter(|_| has_burst).map(|pool| Burst {
         from: Millis(FROM.as_millis() as u64),
         to: Millis(TO.as_millis() as u64),
-        rate: Rate(rate + more(size, pipeline, pool)),
+        rate: Rate(rate + extra_rate(size, pipeline, pool)),
     });
     Class {
         name: pipeline.name.to_owned(),
@@ -116,9 +117,9 @@
     }
 }
 
-/// Returns the further arrivals a second that bring a pool to a burst's load.
-fn more(size: &Size, pipeline: &Pipeline, pool: &str) -> f64 {
+/// Returns the additional arrivals per second that raise a pool's load to [`BURST_LOAD`].
+fn extra_rate(size: &Size, pipeline: &Pipeline, pool: &str) -> f64 {
     let pool = size.pool(pool);
     let now: f64 = size.pipelines.iter().map(|it| size.rate(it) * it.work(pool)).sum();
-    (BURST * pool.slots() as f64 - now) / pool.work(pipeline.tokens)
+    (BURST_LOAD * pool.slots() as f64 - now) / pool.work(pipeline.tokens)
 }
--- a/crates/standins/examples/scenarios/document.rs
+++ b/crates/standins/examples/scenarios/document.rs
@@ -1,4 +1,4 @@
-//! The service's document for a size, and the same pipelines for the baseline.
+//! The service document of a size, and the same pipelines for the baseline policy.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 use standins::load::{Baseline, BaselineStage};
 use types::{Millis, PoolKind};
 
-use crate::common::hash;
+use crate::common::key_hash;
 use crate::sizes::{Pool, Size};
 use crate::upstreams::Upstreams;
 
-/// The sites.
+/// The names of the sites.
 pub(crate) const SITES: [&str; 3] = ["north", "middle", "south"];
 
-/// The model that engines serve.
+/// The name of the model that engines serve.
 const MODEL: &str = "model";
 
 /// Returns a customer's bearer key.
@@ -21,7 +21,7 @@
     format!("key-of-{customer}")
 }
 
-/// Builds the base file.
+/// Builds the base file of the document.
 pub(crate) fn build(size: &Size, upstreams: &Upstreams) -> String {
     let sites = SITES.map(|it| (it.to_owned(), json!({"region": "one", "domain": it})));
     let model = json!({"version": "1", "adapters": [], "weights": 1_000});
@@ -33,7 +33,7 @@
         (it.name.to_owned(), body)
     });
     let customers = size.pipelines.iter().map(|it| {
-        let keys = [hash(&key(it.customer))];
+        let keys = [key_hash(&key(it.customer))];
         let body = json!({"keys": keys, "priority": it.priority, "pipelines": [it.name]});
         (it.customer.to_owned(), body)
     });
@@ -53,7 +53,7 @@
         let name = format!("{}-{}", pool.name, it.number);
         let mut body = json!({
             "address": it.address(), "site": SITES[it.site()], "vm": format!("host-{name}"),
-            "capacity": pool.each(), "reports": true,
+            "capacity": pool.replica_slots(), "reports": true,
         });
         if pool.kind == PoolKind::Generate {
             body["model"] = MODEL.into();
@@ -74,7 +74,7 @@
     body
 }
 
-/// Builds the baseline's settings.
+/// Builds the settings of the baseline policy.
 pub(crate) fn baseline(size: &Size, upstreams: &Upstreams) -> Baseline {
     let stage = |name: &&str| BaselineStage {
         name: (*name).to_owned(),
--- a/crates/standins/examples/scenarios/main.rs
+++ b/crates/standins/examples/scenarios/main.rs
@@ -1,5 +1,5 @@
-//! Runs the scenarios of docs/MEASUREMENTS.md in real time: the product's processes on loopback
-//! against the fakes, and the plain baseline under the same load.
+//! Runs the scenarios of docs/MEASUREMENTS.md in real time, with mothplank's processes on loopback
+//! and fake upstreams, and runs the baseline policy under the same load.
 //!
 //! `cargo run --release -p mothplank-standins --example scenarios -- --binary PATH`
 
@@ -9,8 +9,8 @@
 mod document;
 mod overhead;
 mod processes;
+mod result_row;
 mod sizes;
-mod sums;
 mod upstreams;
 
 use std::path::{Path, PathBuf};
@@ -23,15 +23,15 @@
 
 use cases::{Case, Event};
 use processes::Processes;
+use result_row::ResultRow;
 use sizes::Size;
-use sums::Sums;
 use upstreams::Upstreams;
 
-/// How long fakes get to end what is still under way before their work is counted.
-const SETTLE: Duration = Duration::from_millis(500);
+/// The time in which fakes finish calls in flight before their work is counted.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// How long the entries get to learn of all upstreams before the load begins.
-const WARM: Duration = Duration::from_secs(2);
+/// The time in which the entries learn about all upstreams before the load starts.
+const WARM_UP_TIME: Duration = Duration::from_secs(2);
 
 #[tokio::main]
 async fn main() -> StepResult<()> {
@@ -46,14 +46,14 @@
         };
         return overhead::run(binary, &out).await;
     }
-    say(&Sums::header());
+    print_line(&ResultRow::header());
     for size in Size::ALL.iter().filter(|it| chosen(&args, "size", it.name)) {
         for case in cases::all(size).iter().filter(|it| chosen(&args, "only", it.name)) {
             if let Some(binary) = binary.filter(|_| chosen(&args, "policy", "mothplank")) {
-                say(&mothplank(binary, &out, size, case).await?);
+                print_line(&mothplank(binary, &out, size, case).await?);
             }
             if chosen(&args, "policy", "baseline") {
-                say(&baseline(&out, size, case).await?);
+                print_line(&baseline(&out, size, case).await?);
             }
         }
     }
@@ -85,29 +85,31 @@
 }
 
 #[allow(clippy::print_stdout)]
-fn say(line: &str) {
+fn print_line(line: &str) {
     println!("{line}");
 }
 
+/// Runs a case under mothplank and returns its row of the table.
 async fn mothplank(binary: &Path, out: &Path, size: &Size, case: &Case) -> StepResult<String> {
     let upstreams = Upstreams::spawn(size).await?;
     let text = document::build(size, &upstreams);
     let processes = Processes::start(binary, out, &text).await?;
-    tokio::time::sleep(WARM).await;
+    tokio::time::sleep(WARM_UP_TIME).await;
     let mut scenario = scenario(size, case, "mothplank");
     scenario.entries = processes.entries().to_vec();
-    let report = play(&scenario, case, &upstreams, Some(&processes)).await?;
-    say(&processes.usage());
-    say(&processes.reasons().await);
-    finish(&report, out, size, case, &upstreams).await
+    let report = run_with_events(&scenario, case, &upstreams, Some(&processes)).await?;
+    print_line(&processes.usage());
+    print_line(&processes.request_counts().await);
+    write_results(&report, out, size, case, &upstreams).await
 }
 
+/// Runs a case under the baseline policy and returns its row of the table.
 async fn baseline(out: &Path, size: &Size, case: &Case) -> StepResult<String> {
     let upstreams = Upstreams::spawn(size).await?;
     let mut scenario = scenario(size, case, "baseline");
     scenario.policy = Policy::Baseline(document::baseline(size, &upstreams));
-    let report = play(&scenario, case, &upstreams, None).await?;
-    finish(&report, out, size, case, &upstreams).await
+    let report = run_with_events(&scenario, case, &upstreams, None).await?;
+    write_results(&report, out, size, case, &upstreams).await
 }
 
 fn scenario(size: &Size, case: &Case, policy: &str) -> Scenario {
@@ -123,8 +125,8 @@
     }
 }
 
-/// Runs the load while the case's events take place.
-async fn play(
+/// Runs the load and applies the events of the case at their times.
+async fn run_with_events(
     scenario: &Scenario,
     case: &Case,
     upstreams: &Upstreams,
@@ -134,29 +136,29 @@
     let events = async {
         for (at, event) in &case.events {
             sleep_until((start + *at).into()).await;
-            apply(event, upstreams, processes);
+            apply_event(event, upstreams, processes);
         }
     };
     let (report, ()) = tokio::join!(load::run(scenario), events);
     report
 }
 
-fn apply(event: &Event, upstreams: &Upstreams, processes: Option<&Processes>) {
+fn apply_event(event: &Event, upstreams: &Upstreams, processes: Option<&Processes>) {
     match event {
-        Event::Faults(which, faults) => upstreams.set(which, faults),
+        Event::Faults(set, faults) => upstreams.set_faults(set, faults),
         Event::CutDigest => processes.into_iter().for_each(Processes::cut),
         Event::HealDigest => processes.into_iter().for_each(Processes::heal),
     }
 }
 
-async fn finish(
+async fn write_results(
     report: &Report,
     out: &Path,
     size: &Size,
     case: &Case,
     upstreams: &Upstreams,
 ) -> StepResult<String> {
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     report.write(out)?;
-    Ok(Sums::new(report, size, case, upstreams).row())
+    Ok(ResultRow::new(report, size, case, upstreams).row())
 }
--- a/crates/standins/examples/scenarios/overhead.rs
+++ b/crates/standins/examples/scenarios/overhead.rs
@@ -1,4 +1,5 @@
-//! What an entry adds to one stage's call, and how many one-stage requests it takes a second.
+//! Measures the latency that an entry adds to a stage call, and the throughput of one entry for
+//! requests with one stage.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,24 +17,24 @@
 use tokio::task::JoinSet;
 use types::{Millis, PoolKind, Priority, Rate, StepError, StepResult};
 
-use crate::common::hash;
+use crate::common::key_hash;
 use crate::document::key;
+use crate::print_line;
 use crate::processes::Processes;
-use crate::say;
 
-/// The rate at which the time added is measured, each way, in requests a second.
+/// The rate in requests per second, over each of the two transports, at which latency is measured.
 const RATE: u64 = 500;
-/// How long that goes on.
+/// The duration of the latency measurement.
 const SPAN: Duration = Duration::from_secs(10);
-/// How many callers send without a pause to find the greatest rate.
-const CALLERS: usize = 64;
-/// How many replicas the stage has.
-const REPLICAS: usize = 4;
+/// The number of callers that send without pauses to measure the throughput.
+const CALLER_COUNT: usize = 64;
+/// The number of replicas of the stage.
+const REPLICA_COUNT: usize = 4;
 
-/// Measures both and prints them.
+/// Measures latency and throughput and prints them.
 pub(crate) async fn run(binary: &Path, out: &Path) -> StepResult<()> {
     let mut stages = Vec::new();
-    for _ in 0..REPLICAS {
+    for _ in 0..REPLICA_COUNT {
         let config = stage::Config { capacity: 256, ..stage::Config::default() };
         stages.push(stage::spawn(config).await?);
     }
@@ -42,30 +43,34 @@
     let class = Arc::new(class());
     let direct = Arc::new(DirectTransport::open(&baseline(&stages), std::slice::from_ref(&class))?);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    paced(&direct, &class, Duration::from_secs(1)).await?;
-    paced(&entries, &class, Duration::from_secs(1)).await?;
-    let both = tokio::join!(paced(&direct, &class, SPAN), paced(&entries, &class, SPAN));
-    let (alone, through) = (both.0?, both.1?);
-    let at = |it: &Histogram<u64>, quantile| it.value_at_quantile(quantile) as f64 / 1e3;
+    measure_latency(&direct, &class, Duration::from_secs(1)).await?;
+    measure_latency(&entries, &class, Duration::from_secs(1)).await?;
+    let both = tokio::join!(
+        measure_latency(&direct, &class, SPAN),
+        measure_latency(&entries, &class, SPAN)
+    );
+    let (direct_times, entry_times) = (both.0?, both.1?);
+    let quantile_ms = |it: &Histogram<u64>, quantile| it.value_at_quantile(quantile) as f64 / 1e3;
     for quantile in [0.5, 0.9, 0.99] {
-        let (alone, through) = (at(&alone, quantile), at(&through, quantile));
-        let added = through - alone;
-        say(&format!(
-            "{RATE}/s, quantile {quantile}: direct {alone:.3} ms, entry {through:.3} ms, \
+        let (direct_times, entry_times) =
+            (quantile_ms(&direct_times, quantile), quantile_ms(&entry_times, quantile));
+        let added = entry_times - direct_times;
+        print_line(&format!(
+            "{RATE}/s, quantile {quantile}: direct {direct_times:.3} ms, entry {entry_times:.3} ms, \
              added {added:.3} ms"
         ));
     }
-    let rate = flat_out(&direct, &class).await;
-    say(&format!("direct, {CALLERS} callers: {rate:.0} requests/s"));
-    let rate = flat_out(&entries, &class).await;
-    say(&format!("one entry, four threads, {CALLERS} callers: {rate:.0} requests/s"));
-    say(&processes.usage());
+    let rate = measure_throughput(&direct, &class).await;
+    print_line(&format!("direct, {CALLER_COUNT} callers: {rate:.0} requests/s"));
+    let rate = measure_throughput(&entries, &class).await;
+    print_line(&format!("one entry, four threads, {CALLER_COUNT} callers: {rate:.0} requests/s"));
+    print_line(&processes.usage());
     Ok(())
 }
 
-/// Sends at an even pace and returns the times from the intended sending, in microseconds.
-async fn paced<P: Transport>(
-    path: &Arc<P>,
+/// Sends requests at a constant rate and returns the time that each took, in microseconds.
+async fn measure_latency<P: Transport>(
+    transport: &Arc<P>,
     class: &Arc<Class>,
     span: Duration,
 ) -> StepResult<Histogram<u64>> {
@@ -75,10 +80,10 @@
     for number in 0..total {
         let due = start + Duration::from_secs(1) * number as u32 / RATE as u32;
         tokio::time::sleep_until(due.into()).await;
-        let (path, caller_request) = (path.clone(), caller_request(class, number));
+        let (transport, request) = (transport.clone(), new_request(class, number));
         tasks.spawn(async move {
             let sent = Instant::now();
-            (path.send(caller_request).await, sent.elapsed())
+            (transport.send(request).await, sent.elapsed())
         });
     }
     let mut times = Histogram::new_with_max(60_000_000, 3)
@@ -92,16 +97,16 @@
     Ok(times)
 }
 
-/// Returns the completed requests a second when callers send without a pause.
-async fn flat_out<P: Transport>(path: &Arc<P>, class: &Arc<Class>) -> f64 {
+/// Returns the completed requests per second when callers send without pauses.
+async fn measure_throughput<P: Transport>(transport: &Arc<P>, class: &Arc<Class>) -> f64 {
     let done = Arc::new(AtomicU64::new(0));
     let mut tasks = JoinSet::new();
-    for caller in 0..CALLERS {
-        let (path, class, done) = (path.clone(), class.clone(), done.clone());
+    for caller in 0..CALLER_COUNT {
+        let (transport, class, done) = (transport.clone(), class.clone(), done.clone());
         tasks.spawn(async move {
             for number in 0.. {
-                let caller_request = caller_request(&class, (caller as u64) << 32 | number);
-                if matches!(path.send(caller_request).await, AttemptResult::Complete(_)) {
+                let request = new_request(&class, (caller as u64) << 32 | number);
+                if matches!(transport.send(request).await, AttemptResult::Complete(_)) {
                     done.fetch_add(1, Ordering::Relaxed);
                 }
             }
@@ -114,7 +119,7 @@
     rate
 }
 
-fn caller_request(class: &Arc<Class>, number: u64) -> CallerRequest {
+fn new_request(class: &Arc<Class>, number: u64) -> CallerRequest {
     CallerRequest {
         class: class.clone(),
         marker: format!("m{number}"),
@@ -153,7 +158,7 @@
         "sites": {"north": site("a"), "middle": site("b"), "south": site("c")},
         "pools": {"one": {"kind": "encode", "upstreams": upstreams}},
         "pipelines": {"one": {"stages": [{"name": "one", "pool": "one", "expected": 1}], "deadline": 5_000}},
-        "customers": {"one": {"keys": [hash(&key("one"))], "priority": 0, "pipelines": ["one"]}},
+        "customers": {"one": {"keys": [key_hash(&key("one"))], "priority": 0, "pipelines": ["one"]}},
     })
     .to_string()
 }
--- a/crates/standins/examples/scenarios/processes.rs
+++ b/crates/standins/examples/scenarios/processes.rs
@@ -1,5 +1,5 @@
-//! The product's processes of one run, on loopback: three control members and six entries. The
-//! entries reach control through cutting proxies.
+//! Mothplank's processes of one run on loopback: three control members and six entries. The entries
+//! connect to the control members through proxies that can cut the connections.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -12,16 +12,18 @@
 use standins::proxy::{self, Cut, Proxy, Scope, Way};
 use types::{StepError, StepResult};
 
-use crate::common::{self, TOKEN, control, drop_nulls, entry, free, until};
+use crate::common::{
+    self, TOKEN, control_settings, drop_nulls, entry_settings, free_address, retry,
+};
 use crate::document::SITES;
 
-const CONTROLS: usize = 3;
-const ENTRIES: usize = 6;
+const CONTROL_COUNT: usize = 3;
+const ENTRY_COUNT: usize = 6;
 
-/// The clock ticks of /proc in a second.
-const TICKS: f64 = 100.0;
+/// The clock ticks per second in `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Running processes; dropping them ends them.
+/// The running processes. Dropping this kills them.
 pub(crate) struct Processes {
     children: Vec<(String, Child)>,
     proxies: Vec<Proxy>,
@@ -31,10 +33,10 @@
 }
 
 impl Processes {
-    /// Starts them all, with a service in force at each entry.
+    /// Starts all processes and waits until the service document is in force at each entry.
     pub(crate) async fn start(binary: &Path, out: &Path, base: &str) -> StepResult<Self> {
         let folder = tempfile::tempdir().map_err(|e| StepError::new("create folder", e))?;
-        let members: Vec<Member> = (0..CONTROLS).map(member).collect();
+        let members: Vec<Member> = (0..CONTROL_COUNT).map(member).collect();
         let mut proxies = Vec::new();
         for member in &members {
             proxies.push(proxy::spawn(proxy::Config::to(member.wire)).await?);
@@ -45,74 +47,79 @@
         let mut it = Self {
             children: Vec::new(),
             proxies,
-            entries: (0..ENTRIES).map(|_| free()).collect(),
+            entries: (0..ENTRY_COUNT).map(|_| free_address()).collect(),
             started: std::time::Instant::now(),
             _folder: folder,
         };
-        for number in 0..CONTROLS {
+        for number in 0..CONTROL_COUNT {
             let data = it._folder.path().join(format!("data-{number}"));
             std::fs::create_dir_all(&data).map_err(|e| StepError::new("create folder", e))?;
-            let settings = NodeSettings { control: Some(control(data)), ..node(number, &members) };
+            let settings = NodeSettings {
+                control: Some(control_settings(data)),
+                ..node_settings(number, &members)
+            };
             it.spawn(binary, out, "control", number, &settings)?;
         }
         let http = members[0].http;
-        until("init", || post(http, "/v1/init", json!({}))).await?;
+        retry("init", || post(http, "/v1/init", json!({}))).await?;
         let document = json!({"base": base, "overlays": SITES.map(|it| (it, "{}"))
             .into_iter().collect::<std::collections::BTreeMap<_, _>>()});
         let id = uuid::Uuid::new_v4();
         let change = json!({"id": id, "base": 0, "document": document});
-        until("apply", || post(http, "/v1/changes", change.clone())).await?;
-        for number in 0..ENTRIES {
-            let settings =
-                NodeSettings { entry: Some(entry(it.entries[number])), ..node(number, &proxied) };
+        retry("apply", || post(http, "/v1/changes", change.clone())).await?;
+        for number in 0..ENTRY_COUNT {
+            let settings = NodeSettings {
+                entry: Some(entry_settings(it.entries[number])),
+                ..node_settings(number, &proxied)
+            };
             it.spawn(binary, out, "entry", number, &settings)?;
         }
         for entry in it.entries.clone() {
-            until("ready", || get(entry, "/readyz")).await?;
+            retry("ready", || get(entry, "/readyz")).await?;
         }
         Ok(it)
     }
 
-    /// Returns the entries' addresses.
+    /// Returns the addresses of the entries.
     pub(crate) fn entries(&self) -> &[SocketAddr] {
         &self.entries
     }
 
-    /// Cuts the entries off from control.
+    /// Cuts the connections between the entries and the control members.
     pub(crate) fn cut(&self) {
         self.proxies.iter().for_each(|it| it.cut(Cut { way: Way::Both, scope: Scope::All }));
     }
 
-    /// Lets new connections through again.
+    /// Ends the cut; entries and control members can connect again.
     pub(crate) fn heal(&self) {
         self.proxies.iter().for_each(Proxy::heal);
     }
 
-    /// Adds up over all entries why requests ended other than complete.
-    pub(crate) async fn reasons(&self) -> String {
-        let mut reasons = std::collections::BTreeMap::<String, f64>::new();
+    /// Sums the counters of requests and of extra calls over all entries, by their labels.
+    pub(crate) async fn request_counts(&self) -> String {
+        let mut counts = std::collections::BTreeMap::<String, f64>::new();
         for entry in &self.entries {
             let request = Request::get(format!("http://{entry}/metrics"));
-            let text = common::send(&common::open(), request, String::new()).await;
+            let text = common::send(&common::http_client(), request, String::new()).await;
             for line in text.unwrap_or_default().lines() {
-                let counts = ["mothplank_requests_total{", "mothplank_extra_calls_total{"];
+                let prefixes = ["mothplank_requests_total{", "mothplank_extra_calls_total{"];
                 let Some((name, value)) = line.rsplit_once(' ') else { continue };
-                if counts.iter().any(|it| name.starts_with(it)) {
+                if prefixes.iter().any(|it| name.starts_with(it)) {
                     let name = name.trim_start_matches("mothplank_").replace('"', "");
-                    *reasons.entry(name).or_default() += value.parse().unwrap_or(0.0);
+                    *counts.entry(name).or_default() += value.parse().unwrap_or(0.0);
                 }
             }
         }
-        let all: Vec<String> = reasons.iter().map(|(name, it)| format!("{name} {it}")).collect();
+        let all: Vec<String> = counts.iter().map(|(name, it)| format!("{name} {it}")).collect();
         format!("<!-- {} -->", all.join(", "))
     }
 
-    /// Tells each process's share of a core and memory.
+    /// Returns the share of a core and the memory of each process.
     pub(crate) fn usage(&self) -> String {
         let seconds = self.started.elapsed().as_secs_f64();
         let one = |(name, child): &(String, Child)| {
             let (ticks, megabytes) = read_usage(child.id()).unwrap_or_default();
-            format!("{name} {:.1}% {megabytes:.0} MB", 100.0 * ticks / TICKS / seconds)
+            format!("{name} {:.1}% {megabytes:.0} MB", 100.0 * ticks / TICKS_PER_SECOND / seconds)
         };
         let all: Vec<String> = self.children.iter().map(one).collect();
         format!("<!-- {} -->", all.join(", "))
@@ -127,22 +134,22 @@
         settings: &NodeSettings,
     ) -> StepResult<()> {
         let name = format!("{kind}-{number}");
-        let fault = |e: std::io::Error| StepError::new("start process", e).at(&name);
+        let start_error = |e: std::io::Error| StepError::new("start process", e).at(&name);
         let file = self._folder.path().join(format!("{name}.json"));
         let mut value = serde_json::to_value(settings).unwrap_or_default();
         drop_nulls(&mut value);
         let text = format!("{value:#}");
-        std::fs::write(&file, text).map_err(fault)?;
-        let log = File::create(out.join(format!("{name}.log"))).map_err(fault)?;
+        std::fs::write(&file, text).map_err(start_error)?;
+        let log = File::create(out.join(format!("{name}.log"))).map_err(start_error)?;
         let child = Command::new(binary)
             .arg(kind)
             .arg("--settings")
             .arg(&file)
             .stdin(Stdio::null())
-            .stdout(log.try_clone().map_err(fault)?)
+            .stdout(log.try_clone().map_err(start_error)?)
             .stderr(log)
             .spawn()
-            .map_err(fault)?;
+            .map_err(start_error)?;
         self.children.push((name, child));
         Ok(())
     }
@@ -161,13 +168,13 @@
     Member {
         vm: vm(number).parse().expect("a valid name"),
         site: SITES[number % SITES.len()].parse().expect("a valid name"),
-        wire: free(),
-        http: free(),
+        wire: free_address(),
+        http: free_address(),
         spare: false,
     }
 }
 
-fn node(number: usize, members: &[Member]) -> NodeSettings {
+fn node_settings(number: usize, members: &[Member]) -> NodeSettings {
     let site = SITES[number % SITES.len()];
     NodeSettings {
         vm: vm(number).parse().expect("a valid name"),
@@ -197,11 +204,11 @@
 }
 
 async fn send(request: http::request::Builder, body: String) -> StepResult<Value> {
-    Ok(serde_json::from_str(&common::send(&common::open(), request, body).await?)
+    Ok(serde_json::from_str(&common::send(&common::http_client(), request, body).await?)
         .unwrap_or_default())
 }
 
-/// Reads the clock ticks and the resident memory in MB of a process.
+/// Reads the CPU time in clock ticks and the resident memory in MB of a process.
 fn read_usage(process: u32) -> Option<(f64, f64)> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
--- a/crates/standins/examples/scenarios/result_row.rs
+++ b/crates/standins/examples/scenarios/result_row.rs
@@ -1,29 +1,34 @@
-//! What a run comes to: one row of the table.
+//! The result of a run as a row of a table.
 
 use std::time::Duration;
 
 use standins::load::{Report, RequestResult};
 
-use crate::cases::{Case, Event, FROM, TO, Which};
+use crate::cases::{Case, Event, FROM, TO, UpstreamSet};
 use crate::sizes::{Pool, Size};
 use crate::upstreams::Upstreams;
 
-/// The figures of a run.
-pub(crate) struct Sums {
+/// The result of a run.
+pub(crate) struct ResultRow {
     name: String,
+    /// The attainment by priority.
     attainment: Vec<(u8, f64)>,
+    /// The bottleneck's work for requests answered in time, as a share of what was possible.
     goodput: f64,
+    /// The same including late answers.
     throughput: f64,
-    tight: &'static str,
+    bottleneck: &'static str,
+    /// The work of all upstreams, as a multiple of the minimum for the completed requests.
     work: f64,
     recovery: Option<Duration>,
+    /// The number of crossed and incomplete answers.
     wrong: u64,
     unanswered: u64,
-    resends: f64,
+    attempts_per_request: f64,
 }
 
-impl Sums {
-    /// Returns the head of the table.
+impl ResultRow {
+    /// Returns the header of the table.
     pub(crate) fn header() -> String {
         "| run | attainment by priority, % | goodput, % of what the tightest pool had left | \
          with late answers, % | work per completed, times the least | normal after, s | sendings per request | \
@@ -31,23 +36,23 @@
             .to_owned()
     }
 
-    /// Adds up a run.
+    /// Computes the result of a run.
     pub(crate) fn new(report: &Report, size: &Size, case: &Case, upstreams: &Upstreams) -> Self {
         let classes = report.classes.iter();
         let attainment = classes.map(|it| (it.priority.0, it.attainment())).collect();
-        let (tight, goodput, throughput) = goodput(report, size, case);
+        let (bottleneck, goodput, throughput) = goodput(report, size, case);
         let attempts: u64 = report.classes.iter().map(|it| it.attempts).sum();
         Self {
             name: report.name.clone(),
             attainment,
             goodput,
             throughput,
-            tight,
-            work: upstreams.busy() / least(report, size),
+            bottleneck,
+            work: upstreams.busy() / min_work(report, size),
             recovery: report.recovery(TO),
             wrong: report.count(RequestResult::Crossed) + report.count(RequestResult::Incomplete),
             unanswered: report.count(RequestResult::Unanswered),
-            resends: attempts as f64 / report.records.len().max(1) as f64,
+            attempts_per_request: attempts as f64 / report.records.len().max(1) as f64,
         }
     }
 
@@ -64,18 +69,18 @@
             self.name,
             attainment.join(", "),
             100.0 * self.goodput,
-            self.tight,
+            self.bottleneck,
             100.0 * self.throughput,
             self.work,
-            self.resends,
+            self.attempts_per_request,
             self.wrong,
             self.unanswered,
         )
     }
 }
 
-/// Returns the least work of all completed requests, in seconds.
-fn least(report: &Report, size: &Size) -> f64 {
+/// Returns the work of all completed requests if no call was repeated or abandoned, in seconds.
+fn min_work(report: &Report, size: &Size) -> f64 {
     let done = report
         .records
         .iter()
@@ -87,43 +92,47 @@
     work.sum::<f64>().max(f64::MIN_POSITIVE)
 }
 
-/// Returns the tightest pool between [`FROM`] and [`TO`], and its work for requests that completed
-/// in time then, as a share of what it could do of what was asked; and the same with those that
-/// completed late: callers never give up, so late answers take places too.
+/// Returns the name, goodput and throughput of the bottleneck pool between [`FROM`] and [`TO`].
+///
+/// The bottleneck is the pool with the highest demand relative to its capacity. The goodput is its
+/// work for requests that completed in time, relative to the smaller of demand and capacity. The
+/// throughput also counts those that completed late: callers don't give up after the deadline, so
+/// late answers occupy slots too.
 fn goodput(report: &Report, size: &Size, case: &Case) -> (&'static str, f64, f64) {
     let span = (TO - FROM).as_secs_f64();
     let within = |at: Duration| FROM <= at && at < TO;
-    let asked = |pool: &Pool| -> f64 {
+    let demand = |pool: &Pool| -> f64 {
         let arrived = report.records.iter().filter(|it| within(it.at));
         arrived.map(|it| size.pipelines[it.class].work(pool)).sum()
     };
-    let room = |pool: &Pool| slots_left(pool, case) * span;
-    let load = |pool: &Pool| asked(pool) / room(pool);
-    let tight = size.pools.iter().max_by(|a, b| load(a).total_cmp(&load(b)));
-    let Some(tight) = tight else { return ("", 0.0, 0.0) };
-    let most = asked(tight).min(room(tight));
+    let capacity = |pool: &Pool| available_slots(pool, case) * span;
+    let load = |pool: &Pool| demand(pool) / capacity(pool);
+    let bottleneck = size.pools.iter().max_by(|a, b| load(a).total_cmp(&load(b)));
+    let Some(bottleneck) = bottleneck else { return ("", 0.0, 0.0) };
+    let possible = demand(bottleneck).min(capacity(bottleneck));
     let done = |results: &[RequestResult]| -> f64 {
         let done = report.records.iter().filter(|it| results.contains(&it.result));
         let done = done.filter(|it| within(it.at + it.latency));
-        done.map(|it| size.pipelines[it.class].work(tight)).sum()
+        done.map(|it| size.pipelines[it.class].work(bottleneck)).sum()
     };
-    let whole = [RequestResult::InTime, RequestResult::Late];
-    (tight.name, done(&whole[..1]) / most, done(&whole) / most)
+    let completed = [RequestResult::InTime, RequestResult::Late];
+    (bottleneck.name, done(&completed[..1]) / possible, done(&completed) / possible)
 }
 
-/// Returns a pool's places while the case's faults last; a slow replica counts by its speed.
-fn slots_left(pool: &Pool, case: &Case) -> f64 {
-    let left = |number: usize| -> f64 {
-        let of = |event: &Event| match event {
-            Event::Faults(which, faults) if has(*which, pool, number) && faults.down => 0.0,
-            Event::Faults(which, faults) if has(*which, pool, number) => 1.0 / faults.slow,
+/// Returns a pool's slots during the faults of a case. Slots of a slow replica count in proportion
+/// to its speed.
+fn available_slots(pool: &Pool, case: &Case) -> f64 {
+    let share = |number: usize| -> f64 {
+        let under_event = |event: &Event| match event {
+            Event::Faults(set, faults) if set_contains(*set, pool, number) && faults.down => 0.0,
+            Event::Faults(set, faults) if set_contains(*set, pool, number) => 1.0 / faults.slow,
             _ => 1.0,
         };
-        case.events.iter().map(|(_, event)| of(event)).fold(1.0, f64::min)
+        case.events.iter().map(|(_, event)| under_event(event)).fold(1.0, f64::min)
     };
-    (0..pool.replicas).map(left).sum::<f64>() * pool.each() as f64
+    (0..pool.replicas).map(share).sum::<f64>() * pool.replica_slots() as f64
 }
 
-fn has(which: Which, pool: &Pool, number: usize) -> bool {
-    which.has(pool.name, number, number % crate::document::SITES.len())
+fn set_contains(set: UpstreamSet, pool: &Pool, number: usize) -> bool {
+    set.contains(pool.name, number, number % crate::document::SITES.len())
 }
--- a/crates/standins/examples/scenarios/sizes.rs
+++ b/crates/standins/examples/scenarios/sizes.rs
@@ -1,56 +1,58 @@
-//! The two users' sizes, scaled to one machine: their numbers of replicas and pools; service times
-//! and deadlines about a tenth to a third of the real ones, so that 20 s show what minutes would.
+//! The sizes of the two users, scaled to one machine. The numbers of replicas and pools are the real
+//! ones; service times and deadlines are about a tenth to a third of the real ones, so that a run of
+//! 20 s shows what minutes would.
 
 use types::{PoolKind, Priority};
 
-/// The places of one engine.
+/// The slots of one engine.
 pub(crate) const ENGINE_SLOTS: usize = 4;
-/// The places of one replica of a stage pool.
+/// The slots of one replica of a stage pool.
 pub(crate) const STAGE_SLOTS: usize = 2;
 /// The time to the first token, in microseconds.
 pub(crate) const FIRST_US: u64 = 50_000;
 /// The time between tokens, in microseconds.
 pub(crate) const TOKEN_US: u64 = 8_000;
-/// The share of each bottleneck that steady load takes.
-pub(crate) const STEADY: f64 = 0.7;
+/// The utilization of the bottleneck pools under steady load.
+pub(crate) const STEADY_LOAD: f64 = 0.7;
 
-/// One user's size.
+/// The size of one user's service.
 pub(crate) struct Size {
-    /// Its name.
+    /// The name of the size.
     pub(crate) name: &'static str,
-    /// Its pools; the last is the engines'.
+    /// The pools; the last one is that of the engines.
     pub(crate) pools: [Pool; 4],
-    /// Its pipelines.
+    /// The pipelines.
     pub(crate) pipelines: [Pipeline; 4],
 }
 
-/// A pool.
+/// A pool of upstreams.
 pub(crate) struct Pool {
-    /// Its name, also the stage's.
+    /// The name of the pool and of its stage.
     pub(crate) name: &'static str,
-    /// What its upstreams do.
+    /// The kind of work that its upstreams do.
     pub(crate) kind: PoolKind,
-    /// Its upstreams.
+    /// The number of its upstreams.
     pub(crate) replicas: usize,
-    /// The mean service time in microseconds (exponential); unused for engines.
+    /// The mean of the exponentially distributed service time in microseconds; unused for engines.
     pub(crate) mean_us: u64,
 }
 
-/// A pipeline with the customer that uses it.
+/// A pipeline and the customer that uses it.
 pub(crate) struct Pipeline {
-    /// Its name, also that of its class of requests.
+    /// The name of the pipeline and of its class of requests.
     pub(crate) name: &'static str,
-    /// Its customer.
+    /// The name of the customer.
     pub(crate) customer: &'static str,
-    /// Its priority.
+    /// The priority of its requests.
     pub(crate) priority: Priority,
-    /// The pools it passes.
+    /// The pools of its stages, in order.
     pub(crate) stages: &'static [&'static str],
-    /// The tokens it generates.
+    /// The number of tokens that it generates.
     pub(crate) tokens: u64,
-    /// Its deadline in milliseconds.
+    /// The deadline in milliseconds.
     pub(crate) deadline_ms: u64,
-    /// The share of the engines' steady work that is its own; 0 fills retrieval instead.
+    /// Its share of the engines' steady load. With 0, its rate fills the retrieval pool up to the
+    /// steady load instead.
     pub(crate) share: f64,
 }
 
@@ -130,33 +132,34 @@
         self.pools.iter().find(|it| it.name == name).expect("a pool of the table above")
     }
 
-    /// Returns the arrivals a second of a pipeline under steady load.
+    /// Returns the arrivals per second of a pipeline under steady load.
     pub(crate) fn rate(&self, pipeline: &Pipeline) -> f64 {
         let engines = self.pool("generate");
         if pipeline.share > 0.0 {
-            return STEADY * engines.slots() as f64 * pipeline.share
+            return STEADY_LOAD * engines.slots() as f64 * pipeline.share
                 / engines.work(pipeline.tokens);
         }
         let retrieve = self.pool("retrieve");
-        let most = STEADY * retrieve.slots() as f64 / retrieve.work(0);
+        let max_rate = STEADY_LOAD * retrieve.slots() as f64 / retrieve.work(0);
         let others = self.pipelines.iter().filter(|it| it.share > 0.0);
         let others = others.filter(|it| it.stages.contains(&"retrieve"));
-        most - others.map(|it| self.rate(it)).sum::<f64>()
+        max_rate - others.map(|it| self.rate(it)).sum::<f64>()
     }
 }
 
 impl Pool {
-    /// Returns the calls that run at once in the whole pool.
+    /// Returns the number of slots of the pool.
     pub(crate) fn slots(&self) -> usize {
-        self.replicas * self.each()
+        self.replicas * self.replica_slots()
     }
 
-    /// Returns the calls that run at once at one replica.
-    pub(crate) fn each(&self) -> usize {
+    /// Returns the number of slots of one replica.
+    pub(crate) fn replica_slots(&self) -> usize {
         if self.kind == PoolKind::Generate { ENGINE_SLOTS } else { STAGE_SLOTS }
     }
 
-    /// Returns the least time a call takes, in seconds.
+    /// Returns the time that a call takes without waiting, in seconds: its mean for stages, and the
+    /// time without a cache hit for engines.
     pub(crate) fn work(&self, tokens: u64) -> f64 {
         let us = match self.kind {
             PoolKind::Generate => FIRST_US + TOKEN_US * tokens.saturating_sub(1),
@@ -167,7 +170,7 @@
 }
 
 impl Pipeline {
-    /// Returns the least work of a request in one pool, in seconds.
+    /// Returns the time that a request occupies slots of a pool, in seconds, if no call is repeated.
     pub(crate) fn work(&self, pool: &Pool) -> f64 {
         if self.stages.contains(&pool.name) { pool.work(self.tokens) } else { 0.0 }
     }
--- a/crates/standins/examples/scenarios/upstreams.rs
+++ b/crates/standins/examples/scenarios/upstreams.rs
@@ -1,4 +1,4 @@
-//! The fakes of one run.
+//! The fake upstreams of one run.
 
 use std::net::SocketAddr;
 
@@ -7,20 +7,20 @@
 use standins::stage::{self, ServiceTime, Stage};
 use types::{Micros, Millis, PoolKind, StepResult};
 
-use crate::cases::Which;
+use crate::cases::UpstreamSet;
 use crate::document::SITES;
 use crate::sizes::{self, Pool, Size};
 
-/// All fakes of a run.
+/// All fake upstreams of a run.
 pub(crate) struct Upstreams {
     members: Vec<Member>,
 }
 
-/// One fake.
+/// One fake upstream.
 pub(crate) struct Member {
-    /// Its pool.
+    /// The name of its pool.
     pub(crate) pool: &'static str,
-    /// Its number in the pool.
+    /// Its index in the pool.
     pub(crate) number: usize,
     fake: Fake,
 }
@@ -31,31 +31,31 @@
 }
 
 impl Upstreams {
-    /// Starts the fakes of a size.
+    /// Starts the fake upstreams of a size.
     pub(crate) async fn spawn(size: &Size) -> StepResult<Self> {
         let mut members = Vec::new();
         for pool in &size.pools {
             for number in 0..pool.replicas {
-                let fake = fake(pool, number).await?;
+                let fake = spawn_fake(pool, number).await?;
                 members.push(Member { pool: pool.name, number, fake });
             }
         }
         Ok(Self { members })
     }
 
-    /// Returns the fakes of a pool.
+    /// Returns the fake upstreams of a pool.
     pub(crate) fn pool(&self, name: &str) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(move |it| it.pool == name)
     }
 
-    /// Puts faults in force.
-    pub(crate) fn set(&self, which: &Which, faults: &Faults) {
-        for member in self.members.iter().filter(|it| which.has(it.pool, it.number, it.site())) {
+    /// Replaces the faults of a set of upstreams.
+    pub(crate) fn set_faults(&self, set: &UpstreamSet, faults: &Faults) {
+        for member in self.members.iter().filter(|it| set.contains(it.pool, it.number, it.site())) {
             member.switch().set(faults.clone());
         }
     }
 
-    /// Returns the time that places were taken in all, in seconds.
+    /// Returns the total time for which slots were occupied, in seconds.
     pub(crate) fn busy(&self) -> f64 {
         let busy = self.members.iter().map(|it| match &it.fake {
             Fake::Engine(engine) => engine.counts().busy_us,
@@ -66,7 +66,7 @@
 }
 
 impl Member {
-    /// Returns where it listens.
+    /// Returns the address on which it listens.
     pub(crate) fn address(&self) -> SocketAddr {
         match &self.fake {
             Fake::Engine(engine) => engine.address(),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns the number of its site.
+    /// Returns the index of its site.
     pub(crate) fn site(&self) -> usize {
         self.number % SITES.len()
     }
@@ -87,11 +87,11 @@
     }
 }
 
-async fn fake(pool: &Pool, number: usize) -> StepResult<Fake> {
+async fn spawn_fake(pool: &Pool, number: usize) -> StepResult<Fake> {
     let seed = number as u64 + 1;
     if pool.kind == PoolKind::Generate {
         let config = engine::Config {
-            capacity: pool.each(),
+            capacity: pool.replica_slots(),
             first: Micros(sizes::FIRST_US),
             token: Micros(sizes::TOKEN_US),
             lag: Millis(200),
@@ -101,7 +101,7 @@
         return engine::spawn(config).await.map(Fake::Engine);
     }
     let config = stage::Config {
-        capacity: pool.each(),
+        capacity: pool.replica_slots(),
         time: ServiceTime::Exponential(Micros(pool.mean_us)),
         lag: Millis(200),
         seed,
--- a/crates/standins/tests/fakes.rs
+++ b/crates/standins/tests/fakes.rs
@@ -1,4 +1,4 @@
-//! The fakes keep the contracts that other crates' tests rely on.
+//! Tests that the fakes behave as the tests of other crates expect.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use types::Micros;
 
-/// How long a wait for a condition may take before the test is said to hang.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for a condition before it fails.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Answer {
     status: u16,
-    echo: String,
+    call_id: String,
     body: Result<String, String>,
 }
 
@@ -31,12 +31,13 @@
         .unwrap();
     let response = client.request(request).await.unwrap();
     let status = response.status().as_u16();
-    let echo = response.headers().get("x-request-id").map(|it| it.to_str().unwrap().to_owned());
+    let call_id = response.headers().get("x-request-id").map(|it| it.to_str().unwrap().to_owned());
     let body = response.into_body().collect().await;
     let body = body.map(|it| String::from_utf8(it.to_bytes().to_vec()).unwrap());
-    Answer { status, echo: echo.unwrap_or_default(), body: body.map_err(|e| e.to_string()) }
+    Answer { status, call_id: call_id.unwrap_or_default(), body: body.map_err(|e| e.to_string()) }
 }
 
+/// Returns the positions and texts of a stream's events.
 fn texts(stream: &str) -> Vec<(u64, String)> {
     let events = stream.split("\n\n").filter_map(|it| it.strip_prefix("data: "));
     let values = events.filter_map(|it| serde_json::from_str::<Value>(it).ok());
@@ -65,8 +66,8 @@
 
 #[tokio::test]
 async fn a_resumed_stream_equals_the_uninterrupted_one() {
-    // Symptom: an answer with a doubled or missing token. Sequence: an engine dies in mid-stream,
-    // another goes on after what was delivered. Cause: positions counted from the wrong place.
+    // Guards against an answer with a duplicate or missing token: an engine dies in mid-stream, and
+    // another one resumes after the delivered tokens but counts positions from the wrong one.
     let first = engine::spawn(quick()).await.unwrap();
     let other = engine::spawn(quick()).await.unwrap();
     let whole = post(first.address(), "/v1/completions", "a", completion("a", None)).await;
@@ -120,7 +121,7 @@
         async move { (i, post(address, "/v1/stage", &call, body).await) }
     });
     for (i, answer) in futures_util::future::join_all(calls).await {
-        assert_eq!((answer.status, answer.echo.as_str()), (200, format!("c{i}").as_str()));
+        assert_eq!((answer.status, answer.call_id.as_str()), (200, format!("c{i}").as_str()));
         assert!(standins::marker::only(&answer.body.unwrap(), &format!("m{i}")));
     }
     assert_eq!(stage.counts().peak, 3);
@@ -128,7 +129,7 @@
 }
 
 #[tokio::test]
-async fn faults_show_on_command() {
+async fn faults_take_effect_on_command() {
     struct Case {
         name: &'static str,
         faults: Faults,
@@ -138,12 +139,12 @@
         Case {
             name: "swapped echo",
             faults: Faults { swap_echo: 1.0, ..Faults::default() },
-            check: |it| it.status == 200 && it.echo != "own",
+            check: |it| it.status == 200 && it.call_id != "own",
         },
         Case {
             name: "swapped body",
             faults: Faults { swap_body: 1.0, ..Faults::default() },
-            check: |it| it.echo == "own" && !it.body.as_ref().unwrap().contains("\"own\""),
+            check: |it| it.call_id == "own" && !it.body.as_ref().unwrap().contains("\"own\""),
         },
         Case {
             name: "cut body",
@@ -176,17 +177,18 @@
 
 #[tokio::test]
 async fn a_cut_silences_open_connections_while_new_ones_work() {
-    // Symptom: a request hangs although its upstream is well. Sequence: connections are pooled,
-    // something between the ends forgets them, new ones pass. Cause: only progress shows it.
+    // Tests of other crates rely on this: a request hangs on a pooled connection that a device
+    // between the two ends has forgotten, although the upstream is healthy and new connections work.
+    // Such a connection shows only by its lack of progress.
     let target = echo_server().await;
     let proxy = proxy::spawn(proxy::Config::to(target)).await.unwrap();
     let mut open = TcpStream::connect(proxy.address()).await.unwrap();
-    assert_eq!(ask(&mut open).await, *b"ping");
+    assert_eq!(ping(&mut open).await, *b"ping");
     proxy.cut(proxy::Cut::default());
     open.write_all(b"ping").await.unwrap();
     until(|| proxy.counts().swallowed == 4).await;
     let mut fresh = TcpStream::connect(proxy.address()).await.unwrap();
-    assert_eq!(ask(&mut fresh).await, *b"ping");
+    assert_eq!(ping(&mut fresh).await, *b"ping");
     let mut none = [0; 1];
     assert!(open.try_read(&mut none).is_err(), "the silent connection is neither read nor closed");
 }
@@ -209,11 +211,11 @@
     until(|| proxy.counts().swallowed == 6).await;
 }
 
-async fn ask(stream: &mut TcpStream) -> [u8; 4] {
+async fn ping(stream: &mut TcpStream) -> [u8; 4] {
     stream.write_all(b"ping").await.unwrap();
-    let mut answer = [0; 4];
-    stream.read_exact(&mut answer).await.unwrap();
-    answer
+    let mut reply = [0; 4];
+    stream.read_exact(&mut reply).await.unwrap();
+    reply
 }
 
 async fn echo_server() -> SocketAddr {
@@ -234,5 +236,5 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait).await.expect("the condition never held");
+    tokio::time::timeout(CONDITION_TIMEOUT, wait).await.expect("the condition never held");
 }
--- a/crates/standins/tests/load.rs
+++ b/crates/standins/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool's stats of what callers got.
+//! Tests of the load tool's callers, checks and reports.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 };
 use types::{Millis, Outcome, Priority, Rate};
 
-const PAUSE: Duration = Duration::from_millis(100);
+const RESEND_PAUSE: Duration = Duration::from_millis(100);
 
 fn class(once: bool) -> Class {
     Class {
@@ -41,16 +41,16 @@
 }
 
 #[test]
-fn each_answer_is_taken_for_what_it_is() {
+fn each_answer_leads_to_the_right_action() {
     struct Case {
         name: &'static str,
         attempt: AttemptResult,
         late: bool,
         once: bool,
-        step: CallerAction,
+        action: CallerAction,
     }
     let own = AttemptResult::Complete(json!("marker=1-7 1.aaaa 2.bbbb"));
-    let case = |name, attempt, step| Case { name, attempt, late: false, once: false, step };
+    let case = |name, attempt, action| Case { name, attempt, late: false, once: false, action };
     let resend = |ms| CallerAction::Resend(Duration::from_millis(ms));
     let cases = [
         case("complete", own.clone(), CallerAction::Done(RequestResult::InTime)),
@@ -98,8 +98,8 @@
     ];
     for case in cases {
         let mut stats = CallerStats::default();
-        let step = stats.record(&request(case.once), &case.attempt, case.late, PAUSE);
-        assert_eq!(step, case.step, "{}", case.name);
+        let action = stats.record(&request(case.once), &case.attempt, case.late, RESEND_PAUSE);
+        assert_eq!(action, case.action, "{}", case.name);
         assert_eq!(stats.attempts, 1, "{}", case.name);
     }
 }
@@ -127,10 +127,10 @@
     }
 }
 
-/// Answers each request at the second sending; the first is refused.
-struct Second(std::sync::Mutex<std::collections::HashSet<String>>);
+/// Refuses the first attempt of each request and answers the second.
+struct AnswerSecond(std::sync::Mutex<std::collections::HashSet<String>>);
 
-impl load::Transport for Second {
+impl load::Transport for AnswerSecond {
     async fn send(&self, request: CallerRequest) -> AttemptResult {
         if self.0.lock().unwrap().insert(request.marker.clone()) {
             return other(Outcome::NotRun, 429, Some(1));
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn every_arrival_is_accounted_for_once() {
+async fn every_arrival_is_counted_once() {
     let class = Class { deadline: Millis(3_600_000), ..class(false) };
     let scenario = Scenario {
         name: "account".to_owned(),
@@ -152,7 +152,7 @@
         pause: Millis(1),
         policy: load::Policy::Mothplank,
     };
-    let report = load::drive(&scenario, Second(Default::default())).await;
+    let report = load::drive(&scenario, AnswerSecond(Default::default())).await;
     let class = &report.classes[0];
     assert!(class.requests > 0);
     assert_eq!(class.requests, report.records.len() as u64);
--- a/crates/standins/tests/ports.rs
+++ b/crates/standins/tests/ports.rs
@@ -1,26 +1,27 @@
-//! Ports that are reserved for the processes of a test.
+//! Tests of the ports that are reserved for the processes of tests.
 
 use std::net::TcpListener;
 
 use socket2::{Domain, Socket, Type};
 use standins::Ports;
 
-/// Symptom: a member of a test ends at its start with `bind operators' HTTP: Address already in use`, and
-/// the test waits for it for a minute; 3 of some 350 runs beside load.
-/// Sequence: the test listens on any port to find one that is free, closes the listener and starts the
-/// member; another thread of the test has just forked a child, or binds to any port.
-/// Cause: the child has a copy of the listener until it runs its own program; or the kernel gives the port,
-/// which nobody holds, to the other socket. 40,000 members started one by one in this way failed 7 times,
-/// 27,000 where no child was forked meanwhile did not.
+/// Guards against a member that fails at its start with `bind operators' HTTP: Address already in use`,
+/// which made its test wait for a minute in 3 of about 350 runs under load.
+///
+/// It came about when a test listened on any port to find a free one, closed the listener and started
+/// the member on that port. If another thread had just forked a child, the child had a copy of the
+/// listener until it called `exec`. Or the kernel gave the unused port to another socket that asked for
+/// any port. Of 40,000 members started one after the other in this way, 7 failed; of 27,000 started
+/// while no child was forked, none did.
 #[test]
 fn a_reserved_port_is_free_for_its_holder_alone() {
     let ports = Ports::open();
     let address = ports.free();
-    // What asks for any port is given none that another socket could not take by name.
+    // The kernel gives a socket that asks for any port only ports that it could also bind explicitly.
     let other = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    let taken = other.bind(&address.into()).expect_err("the port is reserved");
-    assert_eq!(taken.kind(), std::io::ErrorKind::AddrInUse);
-    // All copies of the reserving socket stay open, as they do in a forked child.
+    let error = other.bind(&address.into()).expect_err("the port is reserved");
+    assert_eq!(error.kind(), std::io::ErrorKind::AddrInUse);
+    // The reserving socket stays open meanwhile, as its copy does in a forked child.
     for _ in 0..2 {
         let listener = TcpListener::bind(address).expect("its holder listens");
         assert_eq!(listener.local_addr().expect("an address"), address);
@@ -31,8 +32,8 @@
 fn no_port_is_given_twice() {
     let (one, other) = (Ports::open(), Ports::open());
     assert_ne!(one.ip(), other.ip());
-    let mut given: Vec<_> = (0..200).map(|_| one.free()).collect();
-    given.sort_unstable();
-    given.dedup();
-    assert_eq!(given.len(), 200);
+    let mut addresses: Vec<_> = (0..200).map(|_| one.free()).collect();
+    addresses.sort_unstable();
+    addresses.dedup();
+    assert_eq!(addresses.len(), 200);
 }
