--- a/crates/standins/src/load/mod.rs
+++ b/crates/standins/src/load/mod.rs
@@ -43,7 +43,7 @@
 /// Sends requests: through the entries or directly to the upstreams.
 pub trait Transport: Send + Sync + 'static {
     /// Sends a request once.
-    fn send(&self, ask: CallerRequest) -> impl Future<Output = AttemptResult> + Send;
+    fn send(&self, request: CallerRequest) -> impl Future<Output = AttemptResult> + Send;
 }
 
 /// Runs a scenario under its policy.
--- a/crates/telemetry/src/output.rs
+++ b/crates/telemetry/src/output.rs
@@ -68,7 +68,7 @@
     }
 
     /// Counts a line and returns whether it may be written.
-    fn allow(&mut self, now: Instant) -> bool {
+    fn admit(&mut self, now: Instant) -> bool {
         if now.duration_since(self.window_start) >= RATE_WINDOW {
             *self = Self { window_start: now, lines: 0 };
         }
@@ -87,9 +87,9 @@
 impl Write for LineSender {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut limiter = self.limiter.lock().unwrap_or_else(PoisonError::into_inner);
-        let allowed = limiter.allow(Instant::now());
+        let admitted = limiter.admit(Instant::now());
         drop(limiter);
-        if !allowed || self.lines.try_send(line.to_vec()).is_err() {
+        if !admitted || self.lines.try_send(line.to_vec()).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
