--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -59,8 +59,8 @@
         let member = |(at, ports): (usize, &Ports)| Member {
             vm: format!("c{}", at + 1).parse().expect("a name"),
             site: "north".parse().expect("a name"),
-            wire: ports.free(),
-            http: ports.free(),
+            wire: ports.reserve(),
+            http: ports.reserve(),
             spare: at + spares >= count,
         };
         let members: Vec<Member> = ports.iter().enumerate().map(member).collect();
--- a/crates/mothplank/src/commands/control.rs
+++ b/crates/mothplank/src/commands/control.rs
@@ -18,7 +18,7 @@
 /// Where it cannot start, or had to stop.
 pub(crate) fn run(settings: &Path) -> Result<ExitCode> {
     let node = NodeSettings::read(settings)?;
-    telemetry::open_log(&node.log);
+    telemetry::init_stderr_log(&node.log);
     // Before anything that may wait: a start that hangs is told from one that never began.
     log::info!(vm:% = node.vm, release = RELEASE; "control starts");
     let runtime = tokio::runtime::Builder::new_multi_thread()
--- a/crates/mothplank/src/commands/demo.rs
+++ b/crates/mothplank/src/commands/demo.rs
@@ -43,7 +43,7 @@
 /// # Errors
 /// Where a part cannot start, or the appraisal is not answered.
 pub(crate) async fn run(format: Format) -> Result<ExitCode> {
-    telemetry::open_log("error");
+    telemetry::init_stderr_log("error");
     let folder = tempfile::tempdir().wrap_err("cannot create a temporary folder")?;
     let fakes = Fakes::spawn().await?;
     note(&format!("{} stand-ins of upstreams, and the platform's list of VMs", fakes.count()));
--- a/crates/mothplank/src/commands/entry.rs
+++ b/crates/mothplank/src/commands/entry.rs
@@ -17,7 +17,7 @@
 /// Where it cannot start.
 pub(crate) fn run(settings: &Path) -> Result<ExitCode> {
     let node = NodeSettings::read(settings)?;
-    telemetry::open_log(&node.log);
+    telemetry::init_stderr_log(&node.log);
     log::info!(vm:% = node.vm, release = RELEASE; "entry starts");
     let threads = node.entry.as_ref().map_or(FALLBACK_THREADS, |it| it.threads);
     let runtime = tokio::runtime::Builder::new_multi_thread()
--- a/crates/mothplank/src/commands/host.rs
+++ b/crates/mothplank/src/commands/host.rs
@@ -43,7 +43,7 @@
     O: Future<Output = ()>,
     E: FnOnce(Arc<T>) -> O,
 {
-    telemetry::open_output_log("info");
+    telemetry::init_stdout_log("info");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/mothplank/src/commands/load.rs
+++ b/crates/mothplank/src/commands/load.rs
@@ -30,7 +30,7 @@
         json!({
             "class": it.name, "pipeline": it.pipeline, "requests": it.requests,
             "attained": it.attained, "attainment": it.attainment(), "attempts": it.attempts,
-            "refusals": it.refusals, "broken": it.broken, "fates": it.fates,
+            "refusals": it.refusals, "broken": it.broken, "fates": it.results,
             "p50_ms": it.latency_ms(0.5), "p99_ms": it.latency_ms(0.99),
         })
     };
--- a/crates/mothplank/src/commands/standin.rs
+++ b/crates/mothplank/src/commands/standin.rs
@@ -2,7 +2,7 @@
 
 use eyre::{Result, eyre};
 use serde_json::json;
-use standins::{Kind, engine, platform, proxy, stage};
+use standins::{FakeConfig, engine, platform, proxy, stage};
 use types::{Fencing, Micros, Millis};
 
 use crate::config::Standin;
@@ -23,19 +23,21 @@
     Ok(ExitCode::Success)
 }
 
-fn kind(standin: Standin) -> Result<Kind> {
+fn kind(standin: Standin) -> Result<FakeConfig> {
     Ok(match standin.kind.as_str() {
-        "engine" => Kind::Engine(engine(standin)),
-        "stage" => Kind::Stage(stage(&standin)),
-        "service" => Kind::Service(stage(&standin)),
-        "platform" => Kind::Platform(platform::Config { listen: standin.listen, vms: standin.vms }),
+        "engine" => FakeConfig::Engine(engine(standin)),
+        "stage" => FakeConfig::Stage(stage(&standin)),
+        "service" => FakeConfig::Service(stage(&standin)),
+        "platform" => {
+            FakeConfig::Platform(platform::Config { listen: standin.listen, vms: standin.vms })
+        }
         _ => {
             let target = standin.target.ok_or_else(|| eyre!("a proxy needs --target"))?;
             let mut config = proxy::Config::to(target);
             config.listen = standin.listen;
             config.side = standin.side.unwrap_or(config.side);
             config.delay = standin.delay.map_or(config.delay, Millis);
-            Kind::Proxy(config)
+            FakeConfig::Proxy(config)
         }
     })
 }
--- a/crates/mothplank/tests/env/mod.rs
+++ b/crates/mothplank/tests/env/mod.rs
@@ -170,7 +170,7 @@
 
     /// Starts one stand-in as a process and returns its address.
     pub fn standin(&mut self, name: &str, args: &[&str]) -> SocketAddr {
-        let listen = self.ports.free().to_string();
+        let listen = self.ports.reserve().to_string();
         let args = [&["standin"], args, &["--listen", &listen]].concat();
         let process = self.spawn(name, &args);
         let line = process.first_line();
--- a/crates/mothplank/tests/env/nodes.rs
+++ b/crates/mothplank/tests/env/nodes.rs
@@ -56,9 +56,9 @@
     pub fn plan(plan: &Plan, ports: &Ports, folder: &Path) -> Self {
         let count = (plan.controls + plan.spares).max(plan.entries);
         let node = |n: usize| Node {
-            wire: ports.free(),
-            http: ports.free(),
-            entry: ports.free(),
+            wire: ports.reserve(),
+            http: ports.reserve(),
+            entry: ports.reserve(),
             data: folder.join(format!("data-{n}")),
         };
         let nodes = (1..=count).map(node).collect();
--- a/crates/mothplank/tests/history/gate.rs
+++ b/crates/mothplank/tests/history/gate.rs
@@ -47,7 +47,7 @@
 impl Gate {
     /// Opens a gate to an engine.
     pub fn open(env: &TestEnv, engine: SocketAddr) -> Self {
-        let listener = TcpListener::bind(env.ports.free()).unwrap();
+        let listener = TcpListener::bind(env.ports.reserve()).unwrap();
         let address = listener.local_addr().unwrap();
         let gate = Self { address, engine, http: env.http.clone(), inner: Arc::default() };
         let server = gate.clone();
--- a/crates/mothplank/tests/lost.rs
+++ b/crates/mothplank/tests/lost.rs
@@ -4,10 +4,10 @@
 
 use env::{Document, Plan, Signal, TestEnv, wait_until};
 use serde_json::json;
-use standins::proxy::{Cut, Way};
+use standins::proxy::{Cut, Direction};
 
 /// Silences answers, so that what is asked arrives and what is answered does not.
-const NO_ANSWERS: Cut = Cut { way: Way::Down, scope: standins::proxy::Scope::All };
+const NO_ANSWERS: Cut = Cut { way: Direction::Down, scope: standins::proxy::Scope::All };
 
 fn changed(env: &TestEnv) -> Document {
     let mut document = env.document.clone();
--- a/crates/mothplank/tests/operator.rs
+++ b/crates/mothplank/tests/operator.rs
@@ -38,10 +38,10 @@
 #[test]
 fn an_unreachable_entry_is_not_run_and_no_answer_is_unknown() {
     let env = TestEnv::open(Plan::default());
-    let nobody = env.ports.free().to_string();
+    let nobody = env.ports.reserve().to_string();
     let (code, _) = env.run(&["call", "appraise", "--entry", &nobody, "--resend-ms", "0"]);
     assert_eq!(code, 5);
-    let silent = std::net::TcpListener::bind(env.ports.free()).unwrap();
+    let silent = std::net::TcpListener::bind(env.ports.reserve()).unwrap();
     let silent = silent.local_addr().unwrap().to_string();
     let call = ["call", "appraise", "--resend-ms", "0", "--deadline-ms", "1", "--entry", &silent];
     assert_eq!(env.run(&call).0, 6);
--- a/crates/mothplank/tests/request_drain.rs
+++ b/crates/mothplank/tests/request_drain.rs
@@ -51,7 +51,7 @@
 
 fn is_whole(kind: Kind, marker: &str, answer: &Answer) -> bool {
     let tokens = if kind == Kind::LongStream { TOKENS as usize } else { 0 };
-    let own = standins::marker::only(&answer.json()["output"].to_string(), marker);
+    let own = standins::marker::has_only(&answer.json()["output"].to_string(), marker);
     answer.said == Said::Complete && own && answer.tokens.len() == tokens
 }
 
--- a/crates/mothplank/tests/request_marked.rs
+++ b/crates/mothplank/tests/request_marked.rs
@@ -42,7 +42,7 @@
 /// so of the output of every stage before it.
 fn text(marker: &str) -> String {
     let prompt = json!({"input": {"marker": marker}, "previous": chain(marker)});
-    standins::engine::whole(&prompt.to_string(), TOKENS)
+    standins::engine::full_text(&prompt.to_string(), TOKENS)
 }
 
 /// Checks a complete answer: its own at every stage, whole, and told once.
--- a/crates/mothplank/tests/request_once.rs
+++ b/crates/mothplank/tests/request_once.rs
@@ -14,7 +14,7 @@
 use rand::RngExt;
 use requests::{Ask, Caller, History, Mood, Run, Said, Sending, Stock, size};
 use serde_json::json;
-use standins::proxy::{Cut, Scope, Way};
+use standins::proxy::{Cut, Direction, Scope};
 
 const ENTRIES: usize = 3;
 const CALLERS: usize = 48;
@@ -75,7 +75,7 @@
         let plan = Plan { controls: 3, entries: ENTRIES, proxied: true, ..Plan::default() };
         let mut env = TestEnv::start(plan);
         let runtime = env.runtime.handle().clone();
-        let stocks = [0, 1].map(|_| Stock::spawn(&runtime, env.ports.free()));
+        let stocks = [0, 1].map(|_| Stock::spawn(&runtime, env.ports.reserve()));
         let book =
             json!({"name": "book", "pool": "stock", "path": "/v1/book", "repeatable": false});
         for (i, stock) in stocks.iter().enumerate() {
@@ -226,7 +226,7 @@
         }
         Step::FreezeEntry(time) => freeze(env, &entry, time),
         Step::CutEntry(scope) => {
-            let cut = Cut { way: Way::Both, scope };
+            let cut = Cut { way: Direction::Both, scope };
             members.iter().filter(|to| **to != victim).for_each(|to| {
                 env.link(victim, *to).cut(cut);
                 env.link(*to, victim).cut(cut);
@@ -250,8 +250,8 @@
             let leader = env.wait_leader(&members);
             let others: Vec<_> = members.into_iter().filter(|it| *it != leader).collect();
             others.iter().for_each(|to| {
-                env.link(leader, *to).cut(Cut { way: Way::Both, scope: Scope::All });
-                env.link(*to, leader).cut(Cut { way: Way::Both, scope: Scope::All });
+                env.link(leader, *to).cut(Cut { way: Direction::Both, scope: Scope::All });
+                env.link(*to, leader).cut(Cut { way: Direction::Both, scope: Scope::All });
             });
             env.wait_leader(&others);
             thread::sleep(SHORT);
--- a/crates/mothplank/tests/request_owner.rs
+++ b/crates/mothplank/tests/request_owner.rs
@@ -20,7 +20,7 @@
 fn a_frozen_owner_does_not_run_what_was_told_lost() {
     let mut env = TestEnv::start(Plan { controls: 3, ..Plan::default() });
     let runtime = env.runtime.handle().clone();
-    let stock = Stock::spawn(&runtime, env.ports.free());
+    let stock = Stock::spawn(&runtime, env.ports.reserve());
     let address = json!(stock.address());
     let upstreams = &mut env.document.base["pools"]["stock"]["upstreams"];
     ["stock-1", "stock-2"].iter().for_each(|it| upstreams[it]["address"] = address.clone());
@@ -67,7 +67,7 @@
 fn a_late_answer_to_a_call_that_runs_once_is_waited_for() {
     let mut env = TestEnv::start(Plan { entries: 1, ..Plan::default() });
     let runtime = env.runtime.handle().clone();
-    let stock = Stock::spawn(&runtime, env.ports.free());
+    let stock = Stock::spawn(&runtime, env.ports.reserve());
     let address = json!(stock.address());
     let upstreams = &mut env.document.base["pools"]["stock"]["upstreams"];
     ["stock-1", "stock-2"].iter().for_each(|it| upstreams[it]["address"] = address.clone());
--- a/crates/mothplank/tests/requests/history.rs
+++ b/crates/mothplank/tests/requests/history.rs
@@ -114,7 +114,8 @@
     if complete.windows(2).any(|it| it[0].answer.body != it[1].answer.body) {
         return Err("two complete answers differ".to_owned());
     }
-    let own = |it: &&Sending| standins::marker::only(&it.answer.json()["output"].to_string(), key);
+    let own =
+        |it: &&Sending| standins::marker::has_only(&it.answer.json()["output"].to_string(), key);
     if !complete.iter().all(own) {
         return Err("a complete answer is another request's".to_owned());
     }
--- a/crates/mothplank/tests/state_entry.rs
+++ b/crates/mothplank/tests/state_entry.rs
@@ -14,7 +14,7 @@
 /// Counts the sessions with member 3 that the entry gave up because no quorum confirmed a version.
 /// The entry reaches that member without a proxy, and so under the environment's own address.
 fn given_up(env: &mut TestEnv) -> usize {
-    let peer = format!("\"peer\":\"{}:", env.ports.free().ip());
+    let peer = format!("\"peer\":\"{}:", env.ports.reserve().ip());
     let log = env.process("entry-3").log();
     log.lines().filter(|it| it.contains("no quorum confirmed") && it.contains(&peer)).count()
 }
--- a/crates/mothplank/tests/state_leader.rs
+++ b/crates/mothplank/tests/state_leader.rs
@@ -9,7 +9,7 @@
 use env::{Plan, Signal, TestEnv, wait_until};
 use history::{Answer, Gate, InForce, Operator, Record, Seen, Watch, check_all, document, version};
 use serde_json::{Value, json};
-use standins::proxy::{Cut, Scope, Way};
+use standins::proxy::{Cut, Direction, Scope};
 
 const MEMBERS: [usize; 3] = [1, 2, 3];
 
@@ -242,8 +242,8 @@
                 self.env.signal(&format!("control-{old}"), Signal::STOP);
                 return self.wait_stopped(old);
             }
-            Away::Mute => (Way::Up, Way::Down),
-            Away::Deaf => (Way::Down, Way::Up),
+            Away::Mute => (Direction::Up, Direction::Down),
+            Away::Deaf => (Direction::Down, Direction::Up),
         };
         for other in others {
             self.env.link(old, *other).cut(Cut { way: own, scope: Scope::All });
--- a/crates/mothplank/tests/state_race.rs
+++ b/crates/mothplank/tests/state_race.rs
@@ -10,7 +10,7 @@
 
 use env::{OPERATORS, PATIENCE, Plan, TestEnv, wait_until};
 use history::{Answer, Operator, Record, Watch, check_all};
-use standins::proxy::{Cut, Scope, Way};
+use standins::proxy::{Cut, Direction, Scope};
 
 /// Changes that are raced: a fifth in each of as many rounds. `MOTHPLANK_RACE_CHANGES` sets
 /// another number; docs/proofs/cluster.md names the run of 1,000.
@@ -148,9 +148,9 @@
     }
     let others: Vec<usize> = MEMBERS.into_iter().filter(|it| *it != leader).collect();
     let ways = match fault {
-        Fault::Cut => Some((Way::Both, Way::Both)),
-        Fault::CutOut => Some((Way::Up, Way::Down)),
-        Fault::CutIn => Some((Way::Down, Way::Up)),
+        Fault::Cut => Some((Direction::Both, Direction::Both)),
+        Fault::CutOut => Some((Direction::Up, Direction::Down)),
+        Fault::CutIn => Some((Direction::Down, Direction::Up)),
         Fault::Kill | Fault::KillEntry => None,
     };
     match ways {
@@ -173,7 +173,7 @@
 }
 
 /// Silences the connections that the leader opened, and those to it, for good.
-fn cut(env: &TestEnv, leader: usize, others: &[usize], own: Way, theirs: Way) {
+fn cut(env: &TestEnv, leader: usize, others: &[usize], own: Direction, theirs: Direction) {
     for other in others {
         env.link(leader, *other).cut(Cut { way: own, scope: Scope::All });
         env.link(*other, leader).cut(Cut { way: theirs, scope: Scope::All });
--- a/crates/mothplank/tests/thin.rs
+++ b/crates/mothplank/tests/thin.rs
@@ -30,7 +30,7 @@
         assert_eq!(stages[3]["tokens"], 8, "{answer}");
         assert_eq!(reply.header("mothplank-request"), answer["request"].as_str().unwrap());
         assert_eq!(reply.header("mothplank-outcome"), "complete");
-        assert!(standins::marker::only(&answer["output"].to_string(), &marker), "{answer}");
+        assert!(standins::marker::has_only(&answer["output"].to_string(), &marker), "{answer}");
     }
 }
 
@@ -96,7 +96,10 @@
                     }
                     at += 1;
                 };
-                assert!(standins::marker::only(&answer["output"].to_string(), &marker), "{answer}");
+                assert!(
+                    standins::marker::has_only(&answer["output"].to_string(), &marker),
+                    "{answer}"
+                );
                 complete.fetch_add(1, Ordering::SeqCst);
             }
         }
--- a/crates/registry/tests/env/mod.rs
+++ b/crates/registry/tests/env/mod.rs
@@ -61,7 +61,7 @@
     pub(crate) fn new(count: usize, losses: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let ports = Ports::open();
-        let addresses = (0..count).map(|_| ports.free()).collect();
+        let addresses = (0..count).map(|_| ports.reserve()).collect();
         Self { folder, addresses, losses, _ports: ports }
     }
 
--- a/crates/standins/examples/scenarios/overhead.rs
+++ b/crates/standins/examples/scenarios/overhead.rs
@@ -52,11 +52,11 @@
     let (direct_times, entry_times) = (both.0?, both.1?);
     let quantile_ms = |it: &Histogram<u64>, quantile| it.value_at_quantile(quantile) as f64 / 1e3;
     for quantile in [0.5, 0.9, 0.99] {
-        let (direct_times, entry_times) =
+        let (direct_ms, entry_ms) =
             (quantile_ms(&direct_times, quantile), quantile_ms(&entry_times, quantile));
-        let added = entry_times - direct_times;
+        let added = entry_ms - direct_ms;
         print_line(&format!(
-            "{RATE}/s, quantile {quantile}: direct {direct_times:.3} ms, entry {entry_times:.3} ms, \
+            "{RATE}/s, quantile {quantile}: direct {direct_ms:.3} ms, entry {entry_ms:.3} ms, \
              added {added:.3} ms"
         ));
     }
--- a/crates/standins/examples/scenarios/processes.rs
+++ b/crates/standins/examples/scenarios/processes.rs
@@ -9,7 +9,7 @@
 use hyper::Request;
 use serde_json::{Value, json};
 use settings::{Member, NodeSettings};
-use standins::proxy::{self, Cut, Proxy, Scope, Way};
+use standins::proxy::{self, Cut, Direction, Proxy, Scope};
 use types::{StepError, StepResult};
 
 use crate::common::{
@@ -87,7 +87,7 @@
 
     /// Cuts the connections between the entries and the control members.
     pub(crate) fn cut(&self) {
-        self.proxies.iter().for_each(|it| it.cut(Cut { way: Way::Both, scope: Scope::All }));
+        self.proxies.iter().for_each(|it| it.cut(Cut { way: Direction::Both, scope: Scope::All }));
     }
 
     /// Ends the cut; entries and control members can connect again.
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -25,7 +25,7 @@
 
 pub use cache::{BLOCK, prefixes};
 pub use orders::{Order, OrderStatus};
-pub use text::{token, whole};
+pub use text::{full_text, token};
 
 /// The settings of a fake engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/standins/src/engine/stream.rs
+++ b/crates/standins/src/engine/stream.rs
@@ -117,7 +117,7 @@
 fn count_resume(engine: &FakeEngine, call: &Completion) {
     engine.counters.resumed.fetch_add(1, Ordering::Relaxed);
     let delivered = call.delivered.as_deref().unwrap_or_default();
-    if delivered != text::whole(&call.prompt, call.resume_from.unwrap_or(0)) {
+    if delivered != text::full_text(&call.prompt, call.resume_from.unwrap_or(0)) {
         engine.counters.mismatched.fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/crates/standins/src/engine/text.rs
+++ b/crates/standins/src/engine/text.rs
@@ -22,7 +22,7 @@
 }
 
 /// Returns the first `tokens` tokens of the text generated for `prompt`, joined.
-pub fn whole(prompt: &str, tokens: u64) -> String {
+pub fn full_text(prompt: &str, tokens: u64) -> String {
     (0..tokens).map(|i| token(prompt, i)).collect()
 }
 
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -21,4 +21,4 @@
 
 pub use handle::{Fake, Handle};
 pub use ports::Ports;
-pub use run::{Kind, run};
+pub use run::{FakeConfig, run};
--- a/crates/standins/src/load/report.rs
+++ b/crates/standins/src/load/report.rs
@@ -45,7 +45,7 @@
     /// The priority.
     pub priority: Priority,
     /// The number of requests by result.
-    pub fates: BTreeMap<&'static str, u64>,
+    pub results: BTreeMap<&'static str, u64>,
     /// The number of requests.
     pub requests: u64,
     /// The requests answered completely within their deadline.
@@ -66,7 +66,7 @@
             name: name.to_owned(),
             pipeline: pipeline.to_owned(),
             priority,
-            fates: BTreeMap::new(),
+            results: BTreeMap::new(),
             requests: 0,
             attained: 0,
             attempts: 0,
@@ -77,7 +77,7 @@
     }
 
     fn add(&mut self, record: &Record) {
-        *self.fates.entry(record.result.as_str()).or_default() += 1;
+        *self.results.entry(record.result.as_str()).or_default() += 1;
         self.requests += 1;
         self.attempts += u64::from(record.stats.attempts);
         self.refusals += u64::from(record.stats.refusals);
@@ -219,7 +219,7 @@
             "class", "priority", "requests", "attained", "attempts", "refusals", "p50 ms", "p99 ms"
         )?;
         for it in &self.classes {
-            let fates = it.fates.iter().map(|(result, count)| format!("{result} {count}"));
+            let results = it.results.iter().map(|(result, count)| format!("{result} {count}"));
             writeln!(
                 f,
                 "{:<14}{:>9}{:>10}{:>9.2}%{:>10}{:>10}{:>9.1}{:>9.1}  {}",
@@ -231,7 +231,7 @@
                 it.refusals,
                 it.latency_ms(0.5),
                 it.latency_ms(0.99),
-                fates.collect::<Vec<_>>().join(", "),
+                results.collect::<Vec<_>>().join(", "),
             )?;
         }
         Ok(())
--- a/crates/standins/src/marker.rs
+++ b/crates/standins/src/marker.rs
@@ -28,7 +28,7 @@
 }
 
 /// Returns whether `text` contains `marker` and no other marker.
-pub fn only(text: &str, marker: &str) -> bool {
+pub fn has_only(text: &str, marker: &str) -> bool {
     let found = find(text);
     found.len() == 1 && found[0] == marker
 }
--- a/crates/standins/src/ports.rs
+++ b/crates/standins/src/ports.rs
@@ -42,12 +42,12 @@
         self.ip
     }
 
-    /// Reserves a port for TCP. Its holder can use it for UDP too, because nothing else uses the
-    /// port on this address.
+    /// Reserves a port for TCP. The holder can use it for UDP too, because only the holder uses this
+    /// address.
     ///
     /// # Errors
     /// Returns an error if the kernel has no socket or no port left.
-    pub fn reserve(&self) -> io::Result<SocketAddr> {
+    pub fn try_reserve(&self) -> io::Result<SocketAddr> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         // Both sockets on the port need this option; the common libraries set it on listeners.
         socket.set_reuse_address(true)?;
@@ -57,11 +57,11 @@
         address.ok_or_else(|| io::Error::other("the reserving socket has no IP address"))
     }
 
-    /// Reserves a port like [`Ports::reserve`].
+    /// Reserves a port like [`Ports::try_reserve`].
     ///
     /// # Panics
     /// Panics if the kernel has no socket or no port left, because the test can't continue.
-    pub fn free(&self) -> SocketAddr {
-        self.reserve().expect("a free port on the loopback address")
+    pub fn reserve(&self) -> SocketAddr {
+        self.try_reserve().expect("a free port on the loopback address")
     }
 }
--- a/crates/standins/src/proxy/mod.rs
+++ b/crates/standins/src/proxy/mod.rs
@@ -33,7 +33,7 @@
 /// The direction in which a cut discards bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Way {
+pub enum Direction {
     /// Both directions.
     #[default]
     Both,
@@ -59,7 +59,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Cut {
     /// The direction in which bytes are discarded.
-    pub way: Way,
+    pub way: Direction,
     /// The connections that are cut.
     pub scope: Scope,
 }
@@ -229,10 +229,10 @@
                 Scope::Open => self.opened.load(Ordering::SeqCst),
                 Scope::All => u64::MAX,
             };
-            if cut.way != Way::Down {
+            if cut.way != Direction::Down {
                 rule.silent_up = limit;
             }
-            if cut.way != Way::Up {
+            if cut.way != Direction::Up {
                 rule.silent_down = limit;
             }
         });
--- a/crates/standins/src/run.rs
+++ b/crates/standins/src/run.rs
@@ -8,7 +8,7 @@
 
 /// The fake to run, with its settings.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
+pub enum FakeConfig {
     /// A model engine.
     Engine(engine::Config),
     /// An encoder, retriever or reranker.
@@ -33,19 +33,20 @@
 /// Runs a fake until the process receives SIGINT or SIGTERM.
 ///
 /// Implements `mothplank standin engine|stage|service|platform|proxy --listen IP:PORT ..`. The
-/// command builds a [`Kind`] from its arguments: it starts from the `Config::default()` of the fake
-/// or from [`proxy::Config::to`], and changes the fields that were given.
+/// command builds a [`FakeConfig`] from its arguments: it starts from the `Config::default()` of the
+/// fake or from [`proxy::Config::to`], and changes the fields that were given. It awaits this
+/// function in a multi-threaded tokio runtime.
 ///
 /// Calls `ready` once with the bound address. The command prints it, so that whoever starts a fake
 /// on port 0 learns its port.
 ///
 /// # Errors
 /// Returns an error if the fake can't listen on its address, or if signals can't be received.
-pub async fn run(kind: Kind, ready: impl FnOnce(SocketAddr)) -> StepResult<()> {
+pub async fn run(config: FakeConfig, ready: impl FnOnce(SocketAddr)) -> StepResult<()> {
     use tokio::signal::unix::{SignalKind, signal};
     let signal_error = |e: std::io::Error| StepError::new("wait for signals", e);
     let mut end = signal(SignalKind::terminate()).map_err(signal_error)?;
-    let running = start(kind).await?;
+    let running = start(config).await?;
     ready(running.address());
     tokio::select! {
         _ = end.recv() => {}
@@ -54,13 +55,13 @@
     Ok(())
 }
 
-async fn start(kind: Kind) -> StepResult<Running> {
-    Ok(match kind {
-        Kind::Engine(config) => Running::Engine(engine::spawn(config).await?),
-        Kind::Stage(config) => Running::Stage(stage::spawn(config).await?),
-        Kind::Service(config) => Running::Service(service::spawn(config).await?),
-        Kind::Platform(config) => Running::Platform(platform::spawn(config).await?),
-        Kind::Proxy(config) => Running::Proxy(proxy::spawn(config).await?),
+async fn start(config: FakeConfig) -> StepResult<Running> {
+    Ok(match config {
+        FakeConfig::Engine(config) => Running::Engine(engine::spawn(config).await?),
+        FakeConfig::Stage(config) => Running::Stage(stage::spawn(config).await?),
+        FakeConfig::Service(config) => Running::Service(service::spawn(config).await?),
+        FakeConfig::Platform(config) => Running::Platform(platform::spawn(config).await?),
+        FakeConfig::Proxy(config) => Running::Proxy(proxy::spawn(config).await?),
     })
 }
 
--- a/crates/standins/src/slots.rs
+++ b/crates/standins/src/slots.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Returns the load as it was before `lag`, or no load if no sample is that old.
+    /// Returns the load as it was `lag` ago, or no load if no sample is that old.
     pub(crate) fn load(&self, lag: Duration) -> Load {
         self.with(|it| {
             it.waiting.retain(|waiter| !waiter.wake.is_closed());
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -163,7 +163,7 @@
     json!({"stage": call.stage, "marker": marker, "chain": links})
 }
 
-/// Builds the response to `GET /v1/load`, with the load as it was before `lag`.
+/// Builds the response to `GET /v1/load`, with the load as it was `lag` ago.
 pub(crate) fn load_reply(slots: &Slots, lag: Duration, draining: bool) -> Reply {
     let load = slots.load(lag);
     let body = json!({"running": load.running, "waiting": load.waiting, "draining": draining});
--- a/crates/standins/tests/fakes.rs
+++ b/crates/standins/tests/fakes.rs
@@ -70,18 +70,18 @@
     // another one resumes after the delivered tokens but counts positions from the wrong one.
     let first = engine::spawn(quick()).await.unwrap();
     let other = engine::spawn(quick()).await.unwrap();
-    let whole = post(first.address(), "/v1/completions", "a", completion("a", None)).await;
-    let whole = whole.body.unwrap();
-    assert!(whole.ends_with("data: [DONE]\n\n"));
-    let whole = texts(&whole);
-    assert_eq!(whole.len(), 9);
-    assert_eq!(whole[0].1, "marker=lot-7");
+    let uninterrupted = post(first.address(), "/v1/completions", "a", completion("a", None)).await;
+    let uninterrupted = uninterrupted.body.unwrap();
+    assert!(uninterrupted.ends_with("data: [DONE]\n\n"));
+    let uninterrupted = texts(&uninterrupted);
+    assert_eq!(uninterrupted.len(), 9);
+    assert_eq!(uninterrupted[0].1, "marker=lot-7");
     for from in 0..=9usize {
-        let delivered: String = whole[..from].iter().map(|it| it.1.as_str()).collect();
+        let delivered: String = uninterrupted[..from].iter().map(|it| it.1.as_str()).collect();
         let body = completion("b", Some((from as u64, &delivered)));
         let rest = post(other.address(), "/v1/completions", "b", body).await.body.unwrap();
         let rest: Vec<_> = texts(&rest).into_iter().filter(|it| !it.1.is_empty()).collect();
-        assert_eq!(rest, whole[from..], "resumed from {from}");
+        assert_eq!(rest, uninterrupted[from..], "resumed from {from}");
     }
     assert_eq!(other.counts().resumed, 10);
     assert_eq!(other.counts().mismatched, 0);
@@ -104,7 +104,7 @@
     let body = json!({"request_id": "ended"});
     assert_eq!(post(address, "/v1/cancel", "", body).await.status, 200);
     let answer = ended.await.unwrap();
-    assert!(!answer.body.is_ok_and(|it| it.contains("[DONE]")), "a cancelled stream is not whole");
+    assert!(!answer.body.is_ok_and(|it| it.contains("[DONE]")), "a cancelled stream is incomplete");
     assert_eq!(engine.counts().cancelled, 2);
 }
 
@@ -122,7 +122,7 @@
     });
     for (i, answer) in futures_util::future::join_all(calls).await {
         assert_eq!((answer.status, answer.call_id.as_str()), (200, format!("c{i}").as_str()));
-        assert!(standins::marker::only(&answer.body.unwrap(), &format!("m{i}")));
+        assert!(standins::marker::has_only(&answer.body.unwrap(), &format!("m{i}")));
     }
     assert_eq!(stage.counts().peak, 3);
     assert_eq!(stage.counts().finished, 30);
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -4,6 +4,6 @@
 mod metrics;
 mod output;
 
-pub use log_line::{format_line, open_log};
+pub use log_line::{format_line, init_stderr_log};
 pub use metrics::{ByteCounters, CONTENT_TYPE, open_registry, render};
-pub use output::open_output_log;
+pub use output::init_stdout_log;
--- a/crates/telemetry/src/log_line.rs
+++ b/crates/telemetry/src/log_line.rs
@@ -18,7 +18,7 @@
 /// other text means `info`.
 ///
 /// A second call only changes the level.
-pub fn open_log(level: &str) {
+pub fn init_stderr_log(level: &str) {
     let level = level.parse().unwrap_or(LevelFilter::Info);
     let mut builder = env_logger::Builder::new();
     builder.filter_level(level).format(|buffer, record| {
--- a/crates/telemetry/src/output.rs
+++ b/crates/telemetry/src/output.rs
@@ -30,7 +30,7 @@
 ///
 /// A second call only changes the level. If the writer thread can't be started, the log goes to
 /// standard error instead.
-pub fn open_output_log(level: &str) {
+pub fn init_stdout_log(level: &str) {
     let level = level.parse().unwrap_or(LevelFilter::Info);
     let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
@@ -40,7 +40,7 @@
         .spawn(move || write_lines(&queue, &writer_dropped, &mut io::stdout()));
     if writer.is_err() {
         // Without a writer thread, all lines would be lost.
-        crate::open_log(level.as_str());
+        crate::init_stderr_log(level.as_str());
         return;
     }
     let sender = LineSender { lines, dropped, limiter: Mutex::new(RateLimiter::new()) };
