--- a/crates/standins/src/run.rs
+++ b/crates/standins/src/run.rs
@@ -1,4 +1,4 @@
-//! Fakes as processes.
+//! Runs a fake as a process of its own.
 
 use std::net::SocketAddr;
 
@@ -6,22 +6,22 @@
 
 use crate::{engine, platform, proxy, service, stage};
 
-/// Which fake to run, with its settings.
+/// The fake to run, with its settings.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
+pub enum FakeConfig {
     /// A model engine.
     Engine(engine::Config),
     /// An encoder, retriever or reranker.
     Stage(stage::Config),
-    /// A plain service.
+    /// A plain service that runs no model.
     Service(service::Config),
     /// The platform's list of VMs.
     Platform(platform::Config),
-    /// A cutting proxy.
+    /// A proxy that can cut connections.
     Proxy(proxy::Config),
 }
 
-/// A running fake of any kind; dropping it ends it.
+/// A running fake of any kind; it stops when dropped.
 enum Running {
     Engine(engine::Engine),
     Stage(stage::Stage),
@@ -30,36 +30,38 @@
     Proxy(proxy::Proxy),
 }
 
-/// Runs a fake until the process gets an interrupt or a termination signal.
+/// Runs a fake until the process receives SIGINT or SIGTERM.
 ///
-/// `mothplank standin engine|stage|service|platform|proxy --listen IP:PORT ..` builds a [`Kind`]
-/// from its arguments (start from the kind's `Config::default()`, or [`proxy::Config::to`], and
-/// change the fields that were named), then blocks on this within a multi-threaded tokio runtime.
-/// `ready` is called once with the address that was bound, so that the binary can print it; with
-/// port 0 that is how a starter learns the port.
+/// Implements `mothplank standin engine|stage|service|platform|proxy --listen IP:PORT ..`. The
+/// command builds a [`FakeConfig`] from its arguments: it starts from the `Config::default()` of the
+/// fake or from [`proxy::Config::to`], and changes the fields that were given. It awaits this
+/// function in a multi-threaded tokio runtime.
+///
+/// Calls `ready` once with the bound address. The command prints it, so that whoever starts a fake
+/// on port 0 learns its port.
 ///
 /// # Errors
-/// The address cannot be listened on, or signals cannot be waited for.
-pub async fn run(kind: Kind, ready: impl FnOnce(SocketAddr)) -> StepResult<()> {
+/// Returns an error if the fake can't listen on its address, or if signals can't be received.
+pub async fn run(config: FakeConfig, ready: impl FnOnce(SocketAddr)) -> StepResult<()> {
     use tokio::signal::unix::{SignalKind, signal};
-    let fault = |e: std::io::Error| StepError::new("wait for signals", e);
-    let mut end = signal(SignalKind::terminate()).map_err(fault)?;
-    let running = start(kind).await?;
+    let signal_error = |e: std::io::Error| StepError::new("wait for signals", e);
+    let mut end = signal(SignalKind::terminate()).map_err(signal_error)?;
+    let running = start(config).await?;
     ready(running.address());
     tokio::select! {
         _ = end.recv() => {}
-        result = tokio::signal::ctrl_c() => result.map_err(fault)?,
+        result = tokio::signal::ctrl_c() => result.map_err(signal_error)?,
     }
     Ok(())
 }
 
-async fn start(kind: Kind) -> StepResult<Running> {
-    Ok(match kind {
-        Kind::Engine(config) => Running::Engine(engine::spawn(config).await?),
-        Kind::Stage(config) => Running::Stage(stage::spawn(config).await?),
-        Kind::Service(config) => Running::Service(service::spawn(config).await?),
-        Kind::Platform(config) => Running::Platform(platform::spawn(config).await?),
-        Kind::Proxy(config) => Running::Proxy(proxy::spawn(config).await?),
+async fn start(config: FakeConfig) -> StepResult<Running> {
+    Ok(match config {
+        FakeConfig::Engine(config) => Running::Engine(engine::spawn(config).await?),
+        FakeConfig::Stage(config) => Running::Stage(stage::spawn(config).await?),
+        FakeConfig::Service(config) => Running::Service(service::spawn(config).await?),
+        FakeConfig::Platform(config) => Running::Platform(platform::spawn(config).await?),
+        FakeConfig::Proxy(config) => Running::Proxy(proxy::spawn(config).await?),
     })
 }
 
