--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use registry::{LoadReport, News, Stamp, UpstreamLoad};
+use registry::{LoadReport, RegistryState, Stamp, UpstreamLoad};
 
 use crate::plan::Plan;
 use crate::section::{self, LinkRate, Section};
@@ -26,8 +26,14 @@
 impl Directory {
     /// Creates the next directory. Known incarnations of upstreams keep their connections and
     /// health.
-    pub(crate) fn next(&self, news: &News, plan: &Plan, entries: usize, link: LinkRate) -> Self {
-        let mut next = Self { listed: news.listed, ..Self::default() };
+    pub(crate) fn next(
+        &self,
+        news: &RegistryState,
+        plan: &Plan,
+        entries: usize,
+        link: LinkRate,
+    ) -> Self {
+        let mut next = Self { listed: news.upstreams_stamp, ..Self::default() };
         for it in news.upstreams.iter() {
             let connection_share = connection_share(plan, &it.service, entries);
             let upstream = match self.by_id.get(it.id.as_str()) {
@@ -106,13 +112,13 @@
             tokens: it.tokens(),
         });
         let loads = loads.filter(|it| it.running > 0).collect();
-        LoadReport { listed: self.listed, loads }
+        LoadReport { upstreams_stamp: self.listed, loads }
     }
 
     /// Sets the load of other entries at each upstream: the total in `digest`, less this entry's
     /// own share in `own`.
     pub(crate) fn apply_digest(&self, digest: &LoadReport, own: &LoadReport) {
-        if digest.listed != self.listed {
+        if digest.upstreams_stamp != self.listed {
             return;
         }
         let find = |all: &[UpstreamLoad], at: u32| {
