--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -1,4 +1,4 @@
-//! An authenticated connection and its two typed halves.
+//! Authenticated connections and their two typed halves.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -15,21 +15,21 @@
 use tokio::time::timeout;
 use types::{StepError, StepResult};
 
-use crate::hello::Frames;
-use crate::pump::{self, Incoming, Pumped, Queued, Shared};
-use crate::{HELLO_TIMEOUT, Hello, Kind, SILENCE, Secret, WireError, frame, hello};
+use crate::handshake::Frames;
+use crate::io_tasks::{self, Incoming, Queued, Shared, Tasks};
+use crate::{HANDSHAKE_TIMEOUT, Hello, Kind, SILENCE_TIMEOUT, Secret, WireError, frame, handshake};
 
-/// An authenticated connection. Heartbeats run from its opening until it ends.
+/// An authenticated connection. It sends heartbeats from the handshake until it ends.
 ///
-/// It ends when the other side closes it or is silent, when bytes that are no message come, or
-/// when all its senders and its receiver are dropped; what was queued is written first.
+/// It ends when the other side closes it or is silent, when invalid bytes arrive, or when all its
+/// senders and its receiver are dropped. In the last case the queued messages are written first.
 #[derive(Debug)]
 pub struct Connection {
     peer: Peer,
-    pumped: Pumped,
+    tasks: Tasks,
 }
 
-/// Who is at the other side.
+/// The other side of a connection.
 #[derive(Clone, Debug)]
 struct Peer {
     hello: Hello,
@@ -42,38 +42,38 @@
     }
 }
 
-/// Opens a connection to `address`, proves itself as `me`, and checks the other side.
+/// Opens a connection to `address` and runs the handshake as `own`.
 ///
 /// # Errors
-/// Where it cannot be opened in time, the other side does not hold the secret or refuses, or is
-/// not of the kind `expect`.
+/// Returns an error where the connection can't be opened in time, the other side does not hold the
+/// secret or refuses the handshake, or is not of the kind `expect`.
 pub async fn connect(
     address: SocketAddr,
     secret: &Secret,
-    me: Hello,
+    own: Hello,
     expect: Kind,
 ) -> StepResult<Connection> {
-    let stream = match timeout(HELLO_TIMEOUT, TcpStream::connect(address)).await {
+    let stream = match timeout(HANDSHAKE_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return Err(StepError::new("connect", error).at(address)),
         Err(_) => return Err(StepError::new("connect", WireError::Timeout).at(address)),
     };
-    prepare(&stream).map_err(|e| StepError::new("connect", e).at(address))?;
+    set_options(&stream).map_err(|e| StepError::new("connect", e).at(address))?;
     let mut frames = Frames::new(stream);
-    let dialed = timeout(HELLO_TIMEOUT, hello::dial(&mut frames, secret, me)).await;
+    let dialed = timeout(HANDSHAKE_TIMEOUT, handshake::dial(&mut frames, secret, own)).await;
     let theirs = dialed.unwrap_or(Err(WireError::Timeout));
-    let theirs = theirs.map_err(|e| StepError::new("say hello", e).at(address))?;
+    let theirs = theirs.map_err(|e| StepError::new("handshake", e).at(address))?;
     if theirs.kind != expect {
-        return Err(StepError::new("say hello", WireError::Unexpected(theirs.kind)).at(address));
+        return Err(StepError::new("handshake", WireError::Unexpected(theirs.kind)).at(address));
     }
     Ok(Connection::start(frames, theirs, address, None))
 }
 
-/// Sets what every socket of this transport needs.
-pub(crate) fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+/// Sets the socket options that every connection needs.
+pub(crate) fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    // The kernel gives up on bytes that nobody acknowledges, also while this side only writes.
-    SockRef::from(stream).set_tcp_user_timeout(Some(SILENCE))
+    // The kernel closes the connection if sent bytes stay unacknowledged, even if this side only writes.
+    SockRef::from(stream).set_tcp_user_timeout(Some(SILENCE_TIMEOUT))
 }
 
 impl Connection {
@@ -83,10 +83,10 @@
         address: SocketAddr,
         permit: Option<OwnedSemaphorePermit>,
     ) -> Self {
-        Self { peer: Peer { hello, address }, pumped: pump::start(frames, permit) }
+        Self { peer: Peer { hello, address }, tasks: io_tasks::start(frames, permit) }
     }
 
-    /// Returns who is at the other side, as it has proven.
+    /// Returns the proven identity of the other side.
     pub fn hello(&self) -> &Hello {
         &self.peer.hello
     }
@@ -96,9 +96,9 @@
         self.peer.address
     }
 
-    /// Splits it into its halves, with the types of the messages they carry.
+    /// Splits the connection into its halves, with the types of their messages.
     pub fn split<Out, In>(self) -> (Sender<Out>, Receiver<In>) {
-        let Self { peer, pumped: Pumped { outgoing, incoming, shared } } = self;
+        let Self { peer, tasks: Tasks { outgoing, incoming, shared } } = self;
         let peer = Arc::new(peer);
         let sender = Sender {
             queue: outgoing,
@@ -111,7 +111,7 @@
     }
 }
 
-/// The sending half. Its queue holds some megabytes; a full one shows a slow receiver.
+/// The sending half of a connection. Its queue holds some megabytes; it fills if the receiver is slow.
 pub struct Sender<Out> {
     queue: mpsc::Sender<Queued>,
     shared: Arc<Shared>,
@@ -120,74 +120,75 @@
 }
 
 impl<Out: Serialize> Sender<Out> {
-    /// Queues a message, waiting for room.
+    /// Queues a message; waits until the queue has space.
     ///
     /// # Errors
-    /// Where the connection ended, with the cause, or the message is too large. A message that was
-    /// queued may still be lost with the connection.
+    /// Returns an error where the connection has ended, with the cause, or the message is too large.
+    /// A queued message may still be lost if the connection ends.
     pub async fn send(&self, message: &Out) -> StepResult<()> {
-        self.send_encoded(&Encoded::new(message).map_err(|e| self.fault(e))?).await
+        self.send_encoded(&Encoded::new(message).map_err(|e| self.step_error(e))?).await
     }
 
-    /// Queues a message that is encoded, waiting for room.
+    /// Queues an encoded message; waits until the queue has space.
     ///
     /// # Errors
     /// As [`Sender::send`].
     pub async fn send_encoded(&self, message: &Encoded<Out>) -> StepResult<()> {
-        let queued = self.shared.room(message.frame.clone()).await.map_err(|e| self.fault(e))?;
-        self.queue.send(queued).await.map_err(|_| self.fault(self.shared.cause()))
+        let queued =
+            self.shared.reserve(message.frame.clone()).await.map_err(|e| self.step_error(e))?;
+        self.queue.send(queued).await.map_err(|_| self.step_error(self.shared.cause()))
     }
 
-    /// Queues a message if there is room.
+    /// Queues a message if the queue has space.
     ///
     /// # Errors
-    /// As [`Sender::send`], and [`WireError::Full`] where there is no room.
+    /// As [`Sender::send`], and [`WireError::Full`] where the queue has no space.
     pub fn try_send(&self, message: &Out) -> StepResult<()> {
-        let frame = frame::encode(message).map_err(|e| self.fault(e))?;
-        let queued = self.shared.try_room(frame).map_err(|e| self.fault(e))?;
+        let frame = frame::encode(message).map_err(|e| self.step_error(e))?;
+        let queued = self.shared.try_reserve(frame).map_err(|e| self.step_error(e))?;
         self.queue.try_send(queued).map_err(|e| match e {
-            mpsc::error::TrySendError::Full(_) => self.fault(WireError::Full),
-            mpsc::error::TrySendError::Closed(_) => self.fault(self.shared.cause()),
+            mpsc::error::TrySendError::Full(_) => self.step_error(WireError::Full),
+            mpsc::error::TrySendError::Closed(_) => self.step_error(self.shared.cause()),
         })
     }
 }
 
 impl<Out> Sender<Out> {
-    /// Waits until all that was queued is written. Who sends news of a state only then holds back no more
-    /// than its newest form, however slowly the other side reads.
+    /// Waits until all queued messages are written. A process that sends each update of a state only
+    /// after that never queues more than the newest one, however slowly the other side reads.
     ///
     /// # Errors
-    /// Where the connection ended.
+    /// Returns an error where the connection has ended.
     pub async fn drained(&self) -> StepResult<()> {
-        self.shared.drained().await.map_err(|e| self.fault(e))
+        self.shared.drained().await.map_err(|e| self.step_error(e))
     }
 
-    /// Waits until the other side has told its level, which it does first of all, for `patience` at the
-    /// most: one of a release that knows no levels tells none.
+    /// Waits until the other side has announced its level, which it does with its first frame, for at
+    /// most `patience`: releases without levels never announce one.
     pub async fn wait_level(&self, patience: Duration) {
         let mut level = self.shared.level.subscribe();
-        // Without an answer the level stays 0 until one comes.
+        // After the timeout the level stays 0 until it is announced.
         let _ = timeout(patience, level.wait_for(|it| *it > 0)).await;
     }
 
-    /// Returns the level of the other side as it has told it so far; 0 for none. What it told may come late,
-    /// where packets are lost: ask anew for each message.
+    /// Returns the level that the other side has announced so far; 0 for none. Where packets are lost it
+    /// may arrive late, so callers check it for each message.
     pub fn level(&self) -> u8 {
         *self.shared.level.borrow()
     }
 
-    /// Waits until the connection has ended, and returns the cause.
+    /// Waits until the connection has ended; returns the cause.
     pub async fn ended(&self) -> WireError {
         self.shared.ended.cancelled().await;
         self.shared.cause()
     }
 
-    /// Ends the connection at once, for all halves; what is queued is lost.
+    /// Ends the connection at once, for all halves. Queued messages are lost.
     pub fn abort(&self) {
         self.shared.end(WireError::Closed);
     }
 
-    fn fault(&self, cause: WireError) -> StepError {
+    fn step_error(&self, cause: WireError) -> StepError {
         StepError::new("send message", cause).at(&self.peer)
     }
 }
@@ -209,7 +210,7 @@
     }
 }
 
-/// A message that is encoded once and sent to many.
+/// A message that is encoded once and sent on several connections.
 pub struct Encoded<Out> {
     frame: Bytes,
     message: PhantomData<fn(Out)>,
@@ -219,7 +220,7 @@
     /// Encodes a message.
     ///
     /// # Errors
-    /// Where it is too large.
+    /// Returns an error where the message is too large.
     pub fn new(message: &Out) -> Result<Self, WireError> {
         Ok(Self { frame: frame::encode(message)?, message: PhantomData })
     }
@@ -237,7 +238,7 @@
     }
 }
 
-/// The receiving half.
+/// The receiving half of a connection.
 pub struct Receiver<In> {
     incoming: Incoming,
     shared: Arc<Shared>,
@@ -246,32 +247,32 @@
 }
 
 impl<In: DeserializeOwned> Receiver<In> {
-    /// Waits for the next message; `None` once the other side closed the connection. Safe to cancel.
+    /// Waits for the next message; returns `None` once the other side closed the connection. Cancel safe.
     ///
     /// # Errors
-    /// Where the connection ended otherwise: silent, broken, or by bytes that are no message.
+    /// Returns an error where the connection ended otherwise: it is silent or broken, or received garbage.
     pub async fn recv(&mut self) -> StepResult<Option<In>> {
         let Some(queued) = self.incoming.queue.recv().await else {
             return match self.shared.cause() {
                 WireError::Closed => Ok(None),
-                cause => Err(self.fault(cause)),
+                cause => Err(self.step_error(cause)),
             };
         };
         frame::decode(&queued.frame).map(Some).map_err(|cause| {
             self.shared.end(cause.clone());
-            self.fault(cause)
+            self.step_error(cause)
         })
     }
 }
 
 impl<In> Receiver<In> {
-    /// Returns how many bytes have arrived, those of a message that is not whole yet included. They
-    /// tell a large message on a slow link from a silent peer.
+    /// Returns the number of bytes that have arrived, including those of an incomplete message. It
+    /// distinguishes a large message on a slow link from a silent peer.
     pub fn received(&self) -> u64 {
         self.shared.received.get()
     }
 
-    fn fault(&self, cause: WireError) -> StepError {
+    fn step_error(&self, cause: WireError) -> StepError {
         StepError::new("receive message", cause).at(&self.peer)
     }
 }
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams, each with a MAC.
+//! Datagrams with a MAC.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -10,48 +10,48 @@
 use tokio::net::UdpSocket;
 use types::{StepError, StepResult};
 
-use crate::secret::{TAG_LENGTH, Use};
+use crate::secret::{Purpose, TAG_LENGTH};
 use crate::{Quiet, Secret, WireError, frame, traffic};
 
-/// The largest datagram in bytes, its MAC included.
-pub const DATAGRAM_LIMIT: usize = 32 << 10;
+/// The maximum size of a datagram in bytes, including its MAC.
+pub const MAX_DATAGRAM_BYTES: usize = 32 << 10;
 
-/// How often bad datagrams are logged at most.
-const BAD_PERIOD: Duration = Duration::from_secs(1);
+/// The minimum interval between two log lines about dropped datagrams.
+const LOG_PERIOD: Duration = Duration::from_secs(1);
 
-/// A bound UDP socket. A datagram may be lost, come twice, or be sent again by a stranger who
-/// recorded it: messages carry a sequence of their own.
+/// A bound UDP socket. A datagram may be lost, duplicated, or replayed by an attacker who recorded
+/// it, so messages carry their own sequence numbers.
 #[derive(Debug)]
 pub struct Datagrams {
     socket: UdpSocket,
     address: SocketAddr,
     secret: Secret,
-    bad: AtomicU64,
-    quiet: Quiet,
+    dropped: AtomicU64,
+    throttle: Quiet,
 }
 
 impl Datagrams {
     /// Binds the socket.
     ///
     /// # Errors
-    /// Where the address cannot be bound.
+    /// Returns an error where the address can't be bound.
     pub async fn bind(address: SocketAddr, secret: &Secret) -> StepResult<Self> {
-        let fault = |e| StepError::new("bind datagrams", e).at(address);
-        let socket = std::net::UdpSocket::bind(address).map_err(fault)?;
+        let step_error = |e| StepError::new("bind datagrams", e).at(address);
+        let socket = std::net::UdpSocket::bind(address).map_err(step_error)?;
         Self::from_socket(socket, secret)
     }
 
-    /// Takes a socket that is bound already.
+    /// Uses a socket that is already bound.
     ///
     /// # Errors
-    /// Where the socket cannot be made non-blocking.
+    /// Returns an error where the socket can't be made non-blocking.
     pub fn from_socket(socket: std::net::UdpSocket, secret: &Secret) -> StepResult<Self> {
-        let fault = |e| StepError::new("bind datagrams", e);
-        socket.set_nonblocking(true).map_err(fault)?;
-        let socket = UdpSocket::from_std(socket).map_err(fault)?;
-        let address = socket.local_addr().map_err(fault)?;
-        let (bad, quiet) = (AtomicU64::new(0), Quiet::new(BAD_PERIOD));
-        Ok(Self { socket, address, secret: secret.clone(), bad, quiet })
+        let step_error = |e| StepError::new("bind datagrams", e);
+        socket.set_nonblocking(true).map_err(step_error)?;
+        let socket = UdpSocket::from_std(socket).map_err(step_error)?;
+        let address = socket.local_addr().map_err(step_error)?;
+        let (dropped, throttle) = (AtomicU64::new(0), Quiet::new(LOG_PERIOD));
+        Ok(Self { socket, address, secret: secret.clone(), dropped, throttle })
     }
 
     /// Returns the bound address.
@@ -59,70 +59,70 @@
         self.address
     }
 
-    /// Returns how many datagrams were dropped for a wrong MAC or a wrong message.
-    pub fn bad(&self) -> u64 {
-        self.bad.load(Ordering::Relaxed)
+    /// Returns the number of datagrams that were dropped for an invalid MAC or message.
+    pub fn dropped(&self) -> u64 {
+        self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Sends a message. That it arrives is not certain.
+    /// Sends a message, which may be lost on the way.
     ///
     /// # Errors
-    /// Where it is too large or the socket refuses it.
+    /// Returns an error where the message is too large or the socket refuses it.
     pub async fn send<T: Serialize>(&self, to: SocketAddr, message: &T) -> StepResult<()> {
-        let fault = |e: WireError| StepError::new("send datagram", e).at(to);
-        let mut bytes =
-            postcard::to_stdvec(message).map_err(|e| fault(WireError::Garbage(e.to_string())))?;
-        let tag = self.secret.tag(Use::Datagram, &bytes);
+        let step_error = |e: WireError| StepError::new("send datagram", e).at(to);
+        let mut bytes = postcard::to_stdvec(message)
+            .map_err(|e| step_error(WireError::Malformed(e.to_string())))?;
+        let tag = self.secret.tag(Purpose::Datagram, &bytes);
         bytes.extend_from_slice(&tag);
-        if bytes.len() > DATAGRAM_LIMIT {
-            return Err(fault(WireError::Oversize(DATAGRAM_LIMIT)));
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(step_error(WireError::TooLarge(MAX_DATAGRAM_BYTES)));
         }
-        self.socket.send_to(&bytes, to).await.map_err(|e| fault(e.into()))?;
+        self.socket.send_to(&bytes, to).await.map_err(|e| step_error(e.into()))?;
         traffic::sent(bytes.len());
         Ok(())
     }
 
-    /// Waits for the next good message; bad ones are counted and dropped. Safe to cancel.
+    /// Waits for the next valid message; invalid ones are counted and dropped. Cancel safe.
     ///
     /// # Errors
-    /// Where the socket fails.
+    /// Returns an error where the socket fails.
     pub async fn recv<T: DeserializeOwned>(&self) -> StepResult<(SocketAddr, T)> {
-        let fault = |e| StepError::new("receive datagram", e);
-        // The buffer is made only once there is something to read: an idle receiver needs none.
-        self.socket.readable().await.map_err(fault)?;
-        let mut buffer = vec![0; DATAGRAM_LIMIT + 1];
+        let step_error = |e| StepError::new("receive datagram", e);
+        // Allocates the buffer only when there is something to read: an idle receiver needs none.
+        self.socket.readable().await.map_err(step_error)?;
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let (length, from) = match self.socket.try_recv_from(&mut buffer) {
                 Ok(received) => received,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    self.socket.readable().await.map_err(fault)?;
+                    self.socket.readable().await.map_err(step_error)?;
                     continue;
                 }
-                // An earlier datagram met a closed port; that says nothing about the next.
+                // An earlier datagram was sent to a closed port, which does not affect the next one.
                 Err(error) if error.kind() == ErrorKind::ConnectionRefused => continue,
-                Err(error) => return Err(fault(error)),
+                Err(error) => return Err(step_error(error)),
             };
             traffic::received(length);
             match self.open(&buffer[..length]) {
                 Ok(message) => return Ok((from, message)),
-                Err(error) => self.drop_bad(from, &error),
+                Err(cause) => self.record_dropped(from, &cause),
             }
         }
     }
 
     fn open<T: DeserializeOwned>(&self, datagram: &[u8]) -> Result<T, WireError> {
         let split = datagram.len().checked_sub(TAG_LENGTH);
-        let split = split.ok_or_else(|| WireError::Garbage("too short".to_owned()))?;
+        let split = split.ok_or_else(|| WireError::Malformed("too short".to_owned()))?;
         let (body, tag) = datagram.split_at(split);
-        if !self.secret.verify(Use::Datagram, body, tag) {
-            return Err(WireError::Garbage("wrong MAC".to_owned()));
+        if !self.secret.verify(Purpose::Datagram, body, tag) {
+            return Err(WireError::Malformed("wrong MAC".to_owned()));
         }
         frame::decode_body(body)
     }
 
-    fn drop_bad(&self, from: SocketAddr, error: &WireError) {
-        self.bad.fetch_add(1, Ordering::Relaxed);
-        if let Some(held) = self.quiet.pass() {
+    fn record_dropped(&self, from: SocketAddr, error: &WireError) {
+        self.dropped.fetch_add(1, Ordering::Relaxed);
+        if let Some(held) = self.throttle.pass() {
             log::warn!(peer = from.to_string(), held; "datagram dropped: {error}");
         }
     }
--- a/crates/wire/src/edit.rs
+++ b/crates/wire/src/edit.rs
@@ -1,56 +1,56 @@
-//! A change of the service's document as it goes to an entry that has the version before.
+//! Edits of the service's document, for entries that have the previous version.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use types::{Document, SiteName};
 
-/// What stands in the middle of a text instead of what did; both ends stay.
+/// An edit of a text: replaces its middle and keeps a prefix and a suffix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TextEdit {
-    /// Bytes that stay at the front.
-    front: u32,
-    /// Bytes that stay at the back.
-    back: u32,
-    middle: String,
+    /// The length of the kept prefix in bytes.
+    prefix: u32,
+    /// The length of the kept suffix in bytes.
+    suffix: u32,
+    replacement: String,
 }
 
-/// The edits that make one document out of another.
+/// The edits that turn one document into another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentEdit {
     base: TextEdit,
-    /// The overlays that changed; `None` where one is gone. A new one edits an empty text.
+    /// The changed overlays; `None` where one was removed. A new one is an edit of the empty text.
     overlays: BTreeMap<SiteName, Option<TextEdit>>,
-    /// The checksum of the result.
+    /// The checksum of the new document.
     checksum: u32,
 }
 
 impl TextEdit {
-    /// Returns the edit that makes `after` out of `before`.
+    /// Returns the edit that turns `before` into `after`.
     pub fn between(before: &str, after: &str) -> Self {
         let same = before.bytes().zip(after.bytes()).take_while(|(a, b)| a == b).count();
-        // What is kept of both texts ends at the same bytes, so one look at one text tells whether
-        // a character would be cut.
-        let front = (0..=same).rev().find(|it| after.is_char_boundary(*it)).unwrap_or(0);
-        let rest = (before.len() - front).min(after.len() - front);
+        // The kept parts of both texts are the same bytes, so checking the character boundary in one
+        // text is enough.
+        let prefix = (0..=same).rev().find(|it| after.is_char_boundary(*it)).unwrap_or(0);
+        let rest = (before.len() - prefix).min(after.len() - prefix);
         let backward = before.bytes().rev().zip(after.bytes().rev());
         let same = backward.take(rest).take_while(|(a, b)| a == b).count();
         let whole = |it: &usize| after.is_char_boundary(after.len() - *it);
-        let back = (0..=same).rev().find(whole).unwrap_or(0);
-        let middle = after[front..after.len() - back].to_owned();
-        Self { front: front as u32, back: back as u32, middle }
+        let suffix = (0..=same).rev().find(whole).unwrap_or(0);
+        let replacement = after[prefix..after.len() - suffix].to_owned();
+        Self { prefix: prefix as u32, suffix: suffix as u32, replacement }
     }
 
-    /// Makes the new text; `None` where the edit does not fit `before`.
+    /// Returns the new text, or `None` where the edit does not apply to `before`.
     pub fn apply(&self, before: &str) -> Option<String> {
-        let (front, back) = (self.front as usize, self.back as usize);
-        let from = before.len().checked_sub(back).filter(|it| *it >= front)?;
-        Some([before.get(..front)?, &self.middle, before.get(from..)?].concat())
+        let (prefix, suffix) = (self.prefix as usize, self.suffix as usize);
+        let from = before.len().checked_sub(suffix).filter(|it| *it >= prefix)?;
+        Some([before.get(..prefix)?, &self.replacement, before.get(from..)?].concat())
     }
 }
 
 impl DocumentEdit {
-    /// Returns the edit that makes `after` out of `before`.
+    /// Returns the edit that turns `before` into `after`.
     pub fn between(before: &Document, after: &Document) -> Self {
         let text = |it: &SiteName| before.overlays.get(it).map_or("", String::as_str);
         let changed =
@@ -65,10 +65,10 @@
         }
     }
 
-    /// Makes the new document.
+    /// Returns the new document.
     ///
-    /// What goes wrong: the edit is of another text than the one at hand, and what comes out is a
-    /// document that nobody wrote. Its checksum differs then, and the answer is `None`.
+    /// An edit of another text than `before` would result in a document that nobody wrote. The
+    /// checksum detects that, and the result is `None`.
     pub fn apply(&self, before: &Document) -> Option<Document> {
         let mut overlays = before.overlays.clone();
         for (site, edit) in &self.overlays {
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,4 +1,4 @@
-//! What goes wrong between two of the system's processes.
+//! The errors of the transport.
 
 use std::fmt;
 
@@ -6,35 +6,35 @@
 
 use crate::Kind;
 
-/// Why a side refused the hello of the other.
+/// Why one side refused the handshake of the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalCause {
-    /// The other side does not hold the cluster secret, or sent an old proof again.
+    /// The other side does not hold the cluster secret, or replayed an old proof.
     Proof,
-    /// The other side speaks another version of the protocol; this is the refusing side's.
+    /// The other side uses another version of the protocol; this is the version of the refusing side.
     Protocol(u16),
 }
 
 /// The cause of a [`types::StepError`] that this crate returns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WireError {
-    /// No byte came, or none could be written, for [`crate::SILENCE`].
+    /// No byte was read, or none could be written, for [`crate::SILENCE_TIMEOUT`].
     Silent,
     /// The connection is closed.
     Closed,
     /// The send queue is full.
     Full,
     /// A message is larger than the limit in bytes.
-    Oversize(usize),
-    /// The bytes are no message of the expected type.
-    Garbage(String),
-    /// This side refused the other's hello.
+    TooLarge(usize),
+    /// The bytes are not a message of the expected type.
+    Malformed(String),
+    /// This side refused the handshake of the other.
     Refused(RefusalCause),
-    /// The other side refused this side's hello.
+    /// The other side refused the handshake of this side.
     RefusedBy(RefusalCause),
-    /// The other side is not what it was expected to be.
+    /// The other side is of this kind instead of the expected one.
     Unexpected(Kind),
-    /// Opening the connection or the hello took too long.
+    /// Opening the connection or the handshake timed out.
     Timeout,
     /// The socket failed.
     Io(std::io::ErrorKind),
@@ -56,11 +56,11 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::Silent => write!(f, "silent: no progress for {:?}", crate::SILENCE),
+            WireError::Silent => write!(f, "silent: no progress for {:?}", crate::SILENCE_TIMEOUT),
             WireError::Closed => f.write_str("connection closed"),
             WireError::Full => f.write_str("send queue full"),
-            WireError::Oversize(limit) => write!(f, "message larger than {limit} bytes"),
-            WireError::Garbage(why) => write!(f, "not a message: {why}"),
+            WireError::TooLarge(limit) => write!(f, "message larger than {limit} bytes"),
+            WireError::Malformed(why) => write!(f, "not a message: {why}"),
             WireError::Refused(cause) => write!(f, "peer refused: {cause}"),
             WireError::RefusedBy(cause) => write!(f, "refused by peer: {cause}"),
             WireError::Unexpected(kind) => write!(f, "peer is {kind}; check the address"),
@@ -74,13 +74,13 @@
 
 impl From<std::io::Error> for WireError {
     fn from(error: std::io::Error) -> Self {
-        // The codec reports a frame above its limit by this kind and this inner error.
+        // The codec reports a frame above its limit with this inner error.
         let inner = error.get_ref();
         if inner.is_some_and(|e| e.is::<tokio_util::codec::LengthDelimitedCodecError>()) {
-            return WireError::Oversize(crate::FRAME_LIMIT);
+            return WireError::TooLarge(crate::FRAME_LIMIT);
         }
         match error.kind() {
-            // The TCP user timeout ran out: the kernel itself found the other side silent.
+            // The TCP user timeout expired: the kernel detected that the other side is silent.
             std::io::ErrorKind::TimedOut => WireError::Silent,
             kind => WireError::Io(kind),
         }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Messages as bytes.
+//! Encodes messages as frames.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -7,59 +7,59 @@
 
 use crate::WireError;
 
-/// The largest frame in bytes: room for a whole document or a part of a snapshot.
+/// The maximum size of a frame in bytes: enough for a whole document or a part of a snapshot.
 pub const FRAME_LIMIT: usize = 64 << 20;
 
-/// The largest frame before the other side is known.
-const HELLO_LIMIT: usize = 1 << 10;
+/// The maximum size of a frame in bytes until the handshake is complete.
+const MAX_HANDSHAKE_FRAME_BYTES: usize = 1 << 10;
 
-/// The first byte of a frame that only shows that its sender is alive.
+/// The first byte of a heartbeat.
 pub(crate) const HEARTBEAT_TAG: u8 = 0;
 
-/// The first byte of a frame with a message.
+/// The first byte of a message.
 const MESSAGE_TAG: u8 = 1;
 
-/// Returns the codec for the hello; [`open`] lifts its limit.
-pub(crate) fn hello_codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(HELLO_LIMIT).new_codec()
+/// Returns the codec for the handshake; [`raise_limit`] raises its limit.
+pub(crate) fn handshake_codec() -> LengthDelimitedCodec {
+    LengthDelimitedCodec::builder().max_frame_length(MAX_HANDSHAKE_FRAME_BYTES).new_codec()
 }
 
-/// Lifts the limit once the other side is known.
-pub(crate) fn open(codec: &mut LengthDelimitedCodec) {
+/// Raises the limit of a codec once the handshake is complete.
+pub(crate) fn raise_limit(codec: &mut LengthDelimitedCodec) {
     codec.set_max_frame_length(FRAME_LIMIT);
 }
 
 /// Encodes a message.
 ///
 /// # Errors
-/// Where it is larger than [`FRAME_LIMIT`], or its type does not fit postcard.
+/// Returns an error where it is larger than [`FRAME_LIMIT`] or postcard can't encode its type.
 pub fn encode<T: Serialize>(message: &T) -> Result<Bytes, WireError> {
     let frame = postcard::to_extend(message, vec![MESSAGE_TAG])
-        .map_err(|e| WireError::Garbage(e.to_string()))?;
+        .map_err(|e| WireError::Malformed(e.to_string()))?;
     if frame.len() > FRAME_LIMIT {
-        return Err(WireError::Oversize(FRAME_LIMIT));
+        return Err(WireError::TooLarge(FRAME_LIMIT));
     }
     Ok(frame.into())
 }
 
-/// Decodes a message. Any bytes give a message or an error.
+/// Decodes a message. Never panics, whatever the bytes are.
 ///
 /// # Errors
-/// Where the bytes are no message of this type, or more than one.
+/// Returns an error where the bytes are not exactly one message of this type.
 pub fn decode<T: DeserializeOwned>(frame: &[u8]) -> Result<T, WireError> {
     match frame.split_first() {
         Some((&MESSAGE_TAG, body)) => decode_body(body),
-        Some((tag, _)) => Err(WireError::Garbage(format!("unknown frame tag {tag}"))),
-        None => Err(WireError::Garbage("empty frame".to_owned())),
+        Some((tag, _)) => Err(WireError::Malformed(format!("unknown frame tag {tag}"))),
+        None => Err(WireError::Malformed("empty frame".to_owned())),
     }
 }
 
-/// Decodes a message without a tag.
+/// Decodes a message without its first byte.
 pub(crate) fn decode_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, WireError> {
     let (message, rest) =
-        postcard::take_from_bytes(body).map_err(|e| WireError::Garbage(e.to_string()))?;
+        postcard::take_from_bytes(body).map_err(|e| WireError::Malformed(e.to_string()))?;
     if rest.is_empty() {
         return Ok(message);
     }
-    Err(WireError::Garbage(format!("{} bytes left over", rest.len())))
+    Err(WireError::Malformed(format!("{} bytes left over", rest.len())))
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,21 +1,21 @@
-//! Transport between the system's own processes: postcard over TCP and UDP.
+//! The transport between mothplank's own processes: postcard over TCP and UDP.
 //!
-//! A connection begins with a hello in which both sides prove that they hold the cluster secret.
-//! After it, each side sends length-delimited frames, and a heartbeat whenever it has sent nothing
-//! for [`HEARTBEAT`]. A side that makes no progress for [`SILENCE`] is silent: the connection ends
-//! with [`WireError::Silent`]. Datagrams carry a MAC each.
+//! A connection starts with a handshake in which both sides prove that they hold the cluster secret.
+//! Then each side sends length-delimited frames, and a heartbeat whenever it has sent nothing for
+//! [`HEARTBEAT_INTERVAL`]. If no byte moves for [`SILENCE_TIMEOUT`], the connection ends with
+//! [`WireError::Silent`]. Each datagram carries a MAC.
 
 mod connection;
 mod datagram;
 pub mod edit;
 mod error;
 mod frame;
-mod hello;
+mod handshake;
+mod io_tasks;
 mod listener;
 pub mod loads;
-mod progress;
-mod pump;
-mod quiet;
+mod log_throttle;
+mod meter;
 mod secret;
 pub mod session;
 mod traffic;
@@ -23,26 +23,26 @@
 use std::time::Duration;
 
 pub use connection::{Connection, Encoded, Receiver, Sender, connect};
-pub use datagram::{DATAGRAM_LIMIT, Datagrams};
+pub use datagram::{Datagrams, MAX_DATAGRAM_BYTES};
 pub use error::{RefusalCause, WireError};
 pub use frame::{FRAME_LIMIT, decode, encode};
-pub use hello::{Hello, Kind, PROTOCOL};
+pub use handshake::{Hello, Kind, PROTOCOL};
 pub use listener::{Listener, ListenerLimits};
-pub use quiet::Quiet;
-pub use secret::{SECRET_LEAST, Secret};
+pub use log_throttle::Quiet;
+pub use secret::{MIN_SECRET_BYTES, Secret};
 pub use traffic::Traffic;
 
-/// The level of this release's messages, which each side tells the other with its heartbeats. A message
-/// that an earlier release can't read goes only to those of a level that can, so that two releases serve
-/// together in any order of an upgrade.
+/// The level of the messages that this release understands; each side announces its level with its
+/// heartbeats. A message that an earlier release can't decode is sent only to peers of a sufficient
+/// level, so that two releases can run together in any order of an upgrade.
 pub const LEVEL: u8 = 3;
 
-/// After how long without a frame a side sends a heartbeat.
-pub const HEARTBEAT: Duration = Duration::from_millis(500);
+/// The time without a sent frame after which a side sends a heartbeat.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// After how long without a byte read, or without a byte written while some wait, a connection
-/// counts as silent. It is found within a quarter more.
-pub const SILENCE: Duration = Duration::from_millis(2_000);
+/// The time without a byte read, or without a byte written while some are queued, after which a
+/// connection counts as silent. Detection takes up to a quarter longer.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// How long opening a connection may take, and then the hello.
-pub const HELLO_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// The timeout of opening a connection, and then again of the handshake.
+pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_000);
--- a/crates/wire/src/listener.rs
+++ b/crates/wire/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections from peers that prove themselves.
+//! Accepts connections from peers that prove that they hold the cluster secret.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,32 +10,34 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 use types::{StepError, StepResult};
 
-use crate::hello::Frames;
-use crate::{Connection, HELLO_TIMEOUT, Hello, Quiet, Secret, WireError, connection, hello};
+use crate::handshake::Frames;
+use crate::{
+    Connection, HANDSHAKE_TIMEOUT, Hello, Quiet, Secret, WireError, connection, handshake,
+};
 
-/// How long to wait after the socket failed to accept, for example for want of descriptors.
+/// The pause after a failure to accept a connection, for example for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How often refusals are logged at most.
+/// The minimum interval between two log lines about refused connections.
 const REFUSAL_PERIOD: Duration = Duration::from_secs(1);
 
-/// How many connections a listener holds.
+/// The connection limits of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenerLimits {
-    /// Connections open at once.
+    /// The maximum number of open connections.
     pub open: usize,
-    /// Hellos under way at once. While this many are, further peers wait, each for at most
-    /// [`HELLO_TIMEOUT`].
-    pub hellos: usize,
+    /// The maximum number of handshakes in progress. Beyond it, further peers wait, each for at most
+    /// [`HANDSHAKE_TIMEOUT`].
+    pub handshakes: usize,
 }
 
 impl Default for ListenerLimits {
     fn default() -> Self {
-        Self { open: 2_048, hellos: 128 }
+        Self { open: 2_048, handshakes: 128 }
     }
 }
 
-/// A bound listener. Dropping it stops accepting; connections that were accepted go on.
+/// A bound listener. Dropping it stops accepting; accepted connections stay open.
 #[derive(Debug)]
 pub struct Listener {
     address: SocketAddr,
@@ -44,49 +46,49 @@
 }
 
 #[derive(Debug)]
-struct Gate {
+struct Acceptor {
     secret: Secret,
-    me: Hello,
-    hellos: Arc<Semaphore>,
+    own: Hello,
+    handshakes: Arc<Semaphore>,
     open: Arc<Semaphore>,
-    refusals: Quiet,
+    throttle: Quiet,
 }
 
 impl Listener {
-    /// Binds with the usual limits.
+    /// Binds an address with the default limits.
     ///
     /// # Errors
-    /// Where the address cannot be bound.
-    pub async fn bind(address: SocketAddr, secret: &Secret, me: Hello) -> StepResult<Self> {
-        Self::bind_with(address, secret, me, ListenerLimits::default()).await
+    /// Returns an error where the address can't be bound.
+    pub async fn bind(address: SocketAddr, secret: &Secret, own: Hello) -> StepResult<Self> {
+        Self::bind_with(address, secret, own, ListenerLimits::default()).await
     }
 
-    /// Binds with the given limits.
+    /// Binds an address with the given limits.
     ///
     /// # Errors
-    /// Where the address cannot be bound.
+    /// Returns an error where the address can't be bound.
     pub async fn bind_with(
         address: SocketAddr,
         secret: &Secret,
-        me: Hello,
+        own: Hello,
         limits: ListenerLimits,
     ) -> StepResult<Self> {
-        let fault = |e| StepError::new("bind listener", e).at(address);
-        let socket = TcpListener::bind(address).await.map_err(fault)?;
-        let bound = socket.local_addr().map_err(fault)?;
-        let gate = Gate {
+        let step_error = |e| StepError::new("bind listener", e).at(address);
+        let socket = TcpListener::bind(address).await.map_err(step_error)?;
+        let bound = socket.local_addr().map_err(step_error)?;
+        let acceptor = Acceptor {
             secret: secret.clone(),
-            me,
-            hellos: Arc::new(Semaphore::new(limits.hellos)),
+            own,
+            handshakes: Arc::new(Semaphore::new(limits.handshakes)),
             open: Arc::new(Semaphore::new(limits.open)),
-            refusals: Quiet::new(REFUSAL_PERIOD),
+            throttle: Quiet::new(REFUSAL_PERIOD),
         };
-        let (sender, accepted) = mpsc::channel(limits.hellos);
+        let (sender, accepted) = mpsc::channel(limits.handshakes);
         let stop = CancellationToken::new();
         let stopped = stop.clone();
         tokio::spawn(async move {
             tokio::select! {
-                () = run(socket, Arc::new(gate), sender) => {}
+                () = run(socket, Arc::new(acceptor), sender) => {}
                 () = stopped.cancelled() => {}
             }
         });
@@ -98,66 +100,66 @@
         self.address
     }
 
-    /// Waits for the next connection whose peer has proven itself. Safe to cancel.
+    /// Waits for the next connection with a completed handshake. Cancel safe.
     ///
     /// # Errors
-    /// Where the listener has stopped.
+    /// Returns an error where the listener has stopped.
     pub async fn accept(&mut self) -> StepResult<(Hello, Connection)> {
         let next = self.accepted.recv().await;
-        let fault = || StepError::new("accept connection", WireError::Closed).at(self.address);
-        let connection = next.ok_or_else(fault)?;
+        let step_error = || StepError::new("accept connection", WireError::Closed).at(self.address);
+        let connection = next.ok_or_else(step_error)?;
         Ok((connection.hello().clone(), connection))
     }
 }
 
-async fn run(socket: TcpListener, gate: Arc<Gate>, accepted: mpsc::Sender<Connection>) {
+async fn run(socket: TcpListener, acceptor: Arc<Acceptor>, accepted: mpsc::Sender<Connection>) {
     loop {
-        // A peer that connects and says nothing would block all others if the hello ran here. Each
-        // hello has a task of its own, and their number a limit, so that strangers cannot fill the
-        // memory.
-        let Ok(turn) = Arc::clone(&gate.hellos).acquire_owned().await else {
+        // A peer that connects and sends nothing would block all others if the handshake ran here.
+        // Each handshake has its own task, and their number is limited, so that strangers can't
+        // exhaust the memory.
+        let Ok(slot) = Arc::clone(&acceptor.handshakes).acquire_owned().await else {
             return;
         };
         let (stream, peer) = match socket.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                gate.refuse("accept", &WireError::from(error), None);
+                acceptor.log_refusal("accept", &WireError::from(error), None);
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        let Ok(permit) = Arc::clone(&gate.open).try_acquire_owned() else {
-            gate.refuse("accept above the limit", &WireError::Full, Some(peer));
+        let Ok(permit) = Arc::clone(&acceptor.open).try_acquire_owned() else {
+            acceptor.log_refusal("accept above the limit", &WireError::Full, Some(peer));
             continue;
         };
-        let (gate, accepted) = (Arc::clone(&gate), accepted.clone());
+        let (acceptor, accepted) = (Arc::clone(&acceptor), accepted.clone());
         tokio::spawn(async move {
-            match greet(stream, peer, &gate, permit).await {
-                // The turn is held until the connection is taken, which bounds what waits.
+            match run_handshake(stream, peer, &acceptor, permit).await {
+                // The slot is held until `accept` returns the connection, which bounds the waiting ones.
                 Ok(connection) => drop(accepted.send(connection).await),
-                Err(error) => gate.refuse("hello", &error, Some(peer)),
+                Err(error) => acceptor.log_refusal("hello", &error, Some(peer)),
             }
-            drop(turn);
+            drop(slot);
         });
     }
 }
 
-async fn greet(
+async fn run_handshake(
     stream: TcpStream,
     peer: SocketAddr,
-    gate: &Gate,
+    acceptor: &Acceptor,
     permit: OwnedSemaphorePermit,
 ) -> Result<Connection, WireError> {
-    connection::prepare(&stream)?;
+    connection::set_options(&stream)?;
     let mut frames = Frames::new(stream);
-    let answered = hello::answer(&mut frames, &gate.secret, gate.me.clone());
-    let theirs = timeout(HELLO_TIMEOUT, answered).await.unwrap_or(Err(WireError::Timeout))?;
+    let answered = handshake::answer(&mut frames, &acceptor.secret, acceptor.own.clone());
+    let theirs = timeout(HANDSHAKE_TIMEOUT, answered).await.unwrap_or(Err(WireError::Timeout))?;
     Ok(Connection::start(frames, theirs, peer, Some(permit)))
 }
 
-impl Gate {
-    fn refuse(&self, step: &str, error: &WireError, peer: Option<SocketAddr>) {
-        let Some(held) = self.refusals.pass() else {
+impl Acceptor {
+    fn log_refusal(&self, step: &str, error: &WireError, peer: Option<SocketAddr>) {
+        let Some(held) = self.throttle.pass() else {
             return;
         };
         let peer = peer.map_or_else(|| "unknown".to_owned(), |it| it.to_string());
--- a/crates/wire/src/loads.rs
+++ b/crates/wire/src/loads.rs
@@ -1,45 +1,45 @@
-//! The load digest as it goes over one connection: each upstream's name once, then its number.
+//! Load digests as encoded on a connection: each upstream's name once, then its number.
 //!
-//! The numbers belong to the connection, not to a version of the service: what an entry has in
-//! force lags behind what a member knows, and sites may name other upstreams. A connection keeps the
-//! order, so both of its sides number alike, and no digest waits for a version.
+//! The numbers belong to the connection, not to a version of the service: the version of an entry may
+//! be older than that of a member, and sites may have different upstreams. A connection keeps the
+//! order, so both sides assign the same numbers, and no digest has to wait for a version.
 
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
 use types::{Digest, Millis, UpstreamLoad, UpstreamName, UpstreamStanding};
 
-/// One upstream's load under its number; about 5 bytes.
+/// The load of an upstream with its number; about 5 bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NumberedLoad {
-    /// Twice the upstream's number, plus one if it is leaving.
+    /// Twice the number of the upstream, plus one if it is draining.
     key: u32,
     in_flight: u32,
-    /// One more than the calls that the upstream reported; 0 for no report.
+    /// One more than the number of calls that the upstream reported; 0 for no report.
     reported: u32,
     report_age: Millis,
 }
 
-/// A digest whose loads go by number.
+/// A digest with numbers instead of names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NumberedDigest {
-    /// Numbers the digests of one control process.
+    /// The sequence number of the digest within its control process.
     pub sequence: u64,
-    /// How many entries the in-flight counts stand for.
+    /// The number of entries that the in-flight counts cover.
     pub entries: u32,
-    /// The number of the first of `names`; 0 begins the numbering anew.
+    /// The number of the first of `names`; 0 restarts the numbering.
     pub first: u32,
-    /// The names that no digest of this connection has named yet.
+    /// The names that no earlier digest of this connection contained.
     pub names: Vec<UpstreamName>,
     /// The loads.
     pub loads: Vec<NumberedLoad>,
 }
 
-/// Numbers upstreams for one connection, at its sending side.
+/// Assigns the numbers of upstreams, at the sending side of a connection.
 #[derive(Debug, Default)]
 pub struct LoadNumbers(HashMap<UpstreamName, u32>);
 
-/// Resolves the numbers of one connection, at its receiving side.
+/// Resolves the numbers of upstreams, at the receiving side of a connection.
 #[derive(Debug, Default)]
 pub struct LoadNames {
     names: Vec<UpstreamName>,
@@ -47,7 +47,7 @@
 }
 
 impl LoadNumbers {
-    /// Puts a digest into numbers. The numbering holds only if the digest reaches the other side.
+    /// Replaces the names in a digest by numbers. New numbers are valid only if the digest arrives.
     pub fn encode(&mut self, digest: &Digest) -> NumberedDigest {
         let first = self.0.len() as u32;
         let mut names = Vec::new();
@@ -68,8 +68,8 @@
 }
 
 impl LoadNames {
-    /// Resolves a digest; `None` where an earlier one was lost, for its numbers then mean nothing
-    /// until the numbering begins anew.
+    /// Resolves the numbers in a digest. Returns `None` where an earlier digest was lost, because the
+    /// numbers are then undefined until the numbering restarts.
     pub fn decode(&mut self, digest: NumberedDigest) -> Option<Digest> {
         if digest.first == 0 && !digest.names.is_empty() {
             self.names.clear();
@@ -87,12 +87,12 @@
         Some(Digest { sequence: digest.sequence, entries: digest.entries, loads })
     }
 
-    /// Forgets the numbers: a new connection numbers anew.
+    /// Removes all numbers, as a new connection restarts the numbering.
     pub fn clear(&mut self) {
         self.names.clear();
     }
 
-    /// Returns how many digests were dropped.
+    /// Returns the number of digests that were dropped.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
--- a/crates/wire/src/progress.rs
+++ b/crates/wire/src/meter.rs
@@ -1,4 +1,4 @@
-//! Finds connections that went silent, by bytes that move and not by the state of the socket.
+//! Detects silent connections by the bytes that move, as the state of a socket does not show them.
 
 use std::future::Future;
 use std::io;
@@ -10,37 +10,37 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::timeout;
 
-use crate::{SILENCE, WireError, traffic};
+use crate::{SILENCE_TIMEOUT, WireError, traffic};
 
-/// How many times in [`SILENCE`] progress is looked for.
-const SLICES: u32 = 4;
+/// The number of checks for progress within [`SILENCE_TIMEOUT`].
+const CHECKS: u32 = 4;
 
-/// Counts the bytes that moved in one direction.
+/// Counts the bytes that move in one direction.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Meter(Arc<AtomicU64>);
+pub(crate) struct ByteMeter(Arc<AtomicU64>);
 
-impl Meter {
+impl ByteMeter {
     fn add(&self, bytes: usize) {
         self.0.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Returns how many bytes have moved.
+    /// Returns the number of bytes that have moved.
     pub(crate) fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 
-    /// Runs `work` for as long as bytes move.
+    /// Runs `work` as long as bytes move; returns [`WireError::Silent`] if none do.
     ///
-    /// A device between the two ends may lose track of a connection: writes are accepted by the
-    /// kernel, reads wait for good, and no error ever comes. Heartbeats make bytes move on a
-    /// healthy connection, so that none in [`SILENCE`] means that it is dead. Counting bytes in
-    /// place of frames lets a large frame take its time.
+    /// A device between the two ends may lose track of a connection: the kernel accepts writes, reads
+    /// wait forever, and no error is reported. Heartbeats keep bytes moving on a healthy connection,
+    /// so none within [`SILENCE_TIMEOUT`] means that it is dead. Bytes are counted instead of frames,
+    /// because a large frame may take longer.
     pub(crate) async fn watch<T>(&self, work: impl Future<Output = T>) -> Result<T, WireError> {
         let mut work = pin!(work);
         let mut seen = self.get();
         let mut idle = 0;
-        while idle < SLICES {
-            if let Ok(done) = timeout(SILENCE / SLICES, &mut work).await {
+        while idle < CHECKS {
+            if let Ok(done) = timeout(SILENCE_TIMEOUT / CHECKS, &mut work).await {
                 return Ok(done);
             }
             let now = self.get();
@@ -51,19 +51,19 @@
     }
 }
 
-/// One half of a socket whose bytes are counted.
+/// One half of a socket, with a count of its bytes.
 #[derive(Debug)]
 pub(crate) struct Metered<S> {
     inner: S,
-    meter: Meter,
+    meter: ByteMeter,
 }
 
 impl<S> Metered<S> {
     pub(crate) fn new(inner: S) -> Self {
-        Self { inner, meter: Meter::default() }
+        Self { inner, meter: ByteMeter::default() }
     }
 
-    pub(crate) fn meter(&self) -> Meter {
+    pub(crate) fn meter(&self) -> ByteMeter {
         self.meter.clone()
     }
 }
--- a/crates/wire/src/session.rs
+++ b/crates/wire/src/session.rs
@@ -1,7 +1,7 @@
-//! The messages between an entry and the control member it follows.
+//! The messages between an entry and the control member that it follows.
 //!
-//! An entry holds one connection to one member of its site at a time, and sends load reports by
-//! UDP to the same member. Requests carry a number that the reply repeats.
+//! An entry has one connection at a time, to a member of its site, and sends load reports to the same
+//! member over UDP. Each request has a number, which the reply repeats.
 
 use serde::{Deserialize, Serialize};
 use types::{
@@ -13,38 +13,38 @@
 use crate::edit::DocumentEdit;
 use crate::loads::NumberedDigest;
 
-/// Numbers the requests of one session.
+/// The number of a request within its session.
 pub type Ticket = u64;
 
-/// What an entry sends to control.
+/// A message from an entry to a control member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EntryMessage {
-    /// Opens a session: who follows, and the version it has.
+    /// Opens a session.
     Follow {
         /// The entry's VM.
         vm: VmName,
         /// The entry's site.
         site: SiteName,
-        /// The life of the entry process; the state learns it before the session serves claims.
+        /// The incarnation of the entry; it is committed to the state before the session serves claims.
         owner: Incarnation,
-        /// The version the entry has in force; 0 for none.
+        /// The version that the entry has in force; 0 for none.
         have: Version,
     },
-    /// Asks a quorum, after this message was sent, for the version in force.
+    /// Asks which version is in force, confirmed by a quorum after this message was sent.
     Confirm {
         /// The request's number.
         ticket: Ticket,
-        /// The version the entry has in force.
+        /// The version that the entry has in force.
         have: Version,
     },
-    /// Asks for a claim.
+    /// Requests a claim.
     Claim {
         /// The request's number.
         ticket: Ticket,
-        /// What is asked.
+        /// The requested claim.
         request: ClaimRequest,
     },
-    /// Stores the answer of a claim.
+    /// Stores the answer to a claimed request.
     Finish {
         /// The request's number.
         ticket: Ticket,
@@ -55,7 +55,7 @@
         /// The answer.
         answer: StoredAnswer,
     },
-    /// Gives up a claim whose call was never sent.
+    /// Releases a claim whose call was never sent.
     Release {
         /// The request's number.
         ticket: Ticket,
@@ -64,81 +64,81 @@
         /// Its proof.
         proof: ClaimTicket,
     },
-    /// What the entry used since its last report.
+    /// Reports the usage since the last report.
     Usage(UsageReport),
-    /// The entry drains: its shares may be handed to the others.
+    /// Announces that the entry drains and its shares may be given to other entries.
     Draining,
-    /// An edit did not fit the document that the entry has: it needs the whole one.
+    /// Requests the whole document, because an edit did not apply to the entry's document.
     NeedWhole,
-    /// The entry keeps a version out, because it cannot resolve it for its site; an older one stays
-    /// in force there.
+    /// Reports that the entry rejects a version because it can't resolve it for its site. An older
+    /// version stays in force there.
     Behind {
-        /// The version it keeps out.
+        /// The rejected version.
         version: Version,
-        /// Why, in plain words.
+        /// The reason, for operators.
         why: String,
     },
 }
 
-/// What control sends to an entry.
+/// A message from a control member to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlMessage {
-    /// A higher version is in force.
+    /// A newer version is in force.
     Service {
         /// The version.
         version: Version,
         /// The document.
         document: Document,
     },
-    /// A higher version is in force, as a change of the one that this session sent before.
+    /// A newer version is in force, sent as an edit of the version that this session sent before.
     Edit {
         /// The version.
         version: Version,
-        /// The version that is changed.
+        /// The version that the edit applies to.
         base: Version,
-        /// The change.
+        /// The edit.
         edit: DocumentEdit,
     },
-    /// The answer to `Confirm`: a quorum held this version after the question.
+    /// The answer to `Confirm`: a quorum confirmed this version after the request was sent.
     Confirmed {
         /// The request's number.
         ticket: Ticket,
-        /// The version in force. A `Service` message with it came before, if it was new.
+        /// The version in force. If it was new to the entry, a `Service` message with it was sent before.
         version: Version,
     },
-    /// The answer to `Claim`; to `Release` where the key has ended already, and stays so.
+    /// The answer to `Claim`, and to `Release` if the claim has already ended and can't be released.
     Claim {
         /// The request's number.
         ticket: Ticket,
         /// The answer.
         answer: ClaimAnswer,
     },
-    /// The answer to `Finish` and `Release`: it is committed.
+    /// The answer to `Finish` and `Release`: the change is committed.
     Committed {
         /// The request's number.
         ticket: Ticket,
     },
-    /// The request certainly had and will have no effect on the state.
+    /// The request had no effect on the state and will never have one.
     Rejected {
         /// The request's number.
         ticket: Ticket,
         /// Why.
         reason: String,
     },
-    /// The request may or may not have had, or yet have, its effect.
+    /// It is unknown whether the request had an effect or will have one.
     Uncertain {
         /// The request's number.
         ticket: Ticket,
         /// Why.
         reason: String,
     },
-    /// The load of upstreams that changed.
+    /// The loads of the upstreams that changed.
     Digest(Digest),
-    /// The same, with the upstreams' numbers in this session instead of their names.
+    /// The same with the numbers of the upstreams in this session instead of their names.
     Loads(NumberedDigest),
     /// This entry's shares of the customers' limits.
     Shares(Vec<CustomerShare>),
-    /// This member drains: follow another.
+    /// This member drains; the entry must follow another one.
     Leave,
 }
 
@@ -147,22 +147,22 @@
 pub struct CustomerShare {
     /// The customer.
     pub customer: CustomerName,
-    /// Requests a second.
+    /// The rate of requests per second.
     pub rate: Option<Rate>,
-    /// Requests under way at once.
+    /// The maximum number of requests in flight.
     pub concurrency: Option<u32>,
-    /// Generated tokens a second.
+    /// The rate of generated tokens per second.
     pub tokens: Option<Rate>,
 }
 
-/// What an entry used since its last report.
+/// The usage of an entry since its last report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// How long the report covers.
+    /// The time that the report covers.
     pub period: Millis,
-    /// Demand by customer, refused requests included, so that shares follow demand.
+    /// The demand by customer. It includes refused requests, so that shares follow the demand.
     pub customers: Vec<CustomerUse>,
-    /// Use by stage.
+    /// The usage by stage.
     pub stages: Vec<StageUse>,
 }
 
@@ -171,15 +171,15 @@
 pub struct CustomerUse {
     /// The customer.
     pub customer: CustomerName,
-    /// Requests that arrived.
+    /// The number of requests that arrived.
     pub requests: u32,
-    /// The most under way at once.
+    /// The maximum number of requests in flight.
     pub concurrency: u32,
-    /// Tokens generated.
+    /// The number of generated tokens.
     pub tokens: Tokens,
 }
 
-/// Busy time and tokens of one customer's stage calls in one pool.
+/// The busy time and the tokens of a customer's calls for one stage in one pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageUse {
     /// The customer.
@@ -188,30 +188,30 @@
     pub stage: StageName,
     /// The pool that ran it.
     pub pool: PoolName,
-    /// Calls whose result was used.
+    /// The number of calls whose result was used.
     pub calls: u32,
-    /// Busy time of those calls.
+    /// The busy time of those calls.
     pub busy: Micros,
-    /// Tokens of those calls.
+    /// The tokens of those calls.
     pub tokens: Tokens,
-    /// Busy time of calls whose result was not used: retries, lost hedges, cancelled, late.
+    /// The busy time of calls whose result was not used: retried, cancelled or late calls, lost hedges.
     pub wasted: Micros,
 }
 
-/// The datagram by which an entry reports its calls in flight; a lost one is replaced by the next.
+/// The datagram in which an entry reports its calls in flight. The next one replaces a lost one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The entry's VM.
     pub vm: VmName,
-    /// The life of the entry process.
+    /// The incarnation of the entry.
     pub owner: Incarnation,
-    /// Numbers the reports of one process, so that an old one is dropped.
+    /// The sequence number of the report within its process, so that outdated reports are dropped.
     pub sequence: u64,
-    /// Calls in flight by upstream; only those that changed since the last full report.
+    /// The calls in flight by upstream; if not `full`, only those that changed since the last full report.
     pub in_flight: Vec<(UpstreamName, u32)>,
-    /// Whether `in_flight` names every upstream with calls in flight.
+    /// Whether `in_flight` contains every upstream with calls in flight.
     pub full: bool,
 }
 
-/// What a control member says of one upstream after asking it, sent to its peers.
+/// The load of an upstream as a control member observed it and reports it to its peers.
 pub type UpstreamSighting = UpstreamLoad;
--- a/crates/wire/src/traffic.rs
+++ b/crates/wire/src/traffic.rs
@@ -1,7 +1,6 @@
-//! What this process has sent to and received from the system's other processes.
+//! Counts the traffic between this process and mothplank's other processes.
 //!
-//! A node's share for control is bounded in bytes a second; these counts are how one sees that it
-//! holds.
+//! The control traffic of a node has a limit in bytes a second; these counts show whether it is kept.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -9,20 +8,20 @@
 static RECEIVED: AtomicU64 = AtomicU64::new(0);
 static QUEUED: AtomicU64 = AtomicU64::new(0);
 
-/// Bytes over TCP and UDP since the process started, without the headers of IP and below.
+/// Bytes over TCP and UDP since the process started, without the headers of IP and lower layers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Bytes sent.
+    /// The number of bytes sent.
     pub sent: u64,
-    /// Bytes received.
+    /// The number of bytes received.
     pub received: u64,
-    /// Bytes of messages in the queues of all connections now. A message that is queued for several
-    /// connections counts for each.
+    /// The bytes of the messages that are queued on all connections now. A message that is queued on
+    /// several connections counts for each.
     pub queued: u64,
 }
 
 impl Traffic {
-    /// Reads the counts of this process.
+    /// Returns the counts of this process.
     pub fn read() -> Self {
         Self {
             sent: SENT.load(Ordering::Relaxed),
@@ -40,11 +39,11 @@
     RECEIVED.fetch_add(bytes as u64, Ordering::Relaxed);
 }
 
-/// The bytes of a message in a queue, counted until it is dropped.
+/// Counts the bytes of a queued message until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Held(u64);
+pub(crate) struct QueuedBytes(u64);
 
-impl Held {
+impl QueuedBytes {
     pub(crate) fn new(bytes: usize) -> Self {
         let bytes = bytes as u64;
         QUEUED.fetch_add(bytes, Ordering::Relaxed);
@@ -52,7 +51,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for QueuedBytes {
     fn drop(&mut self) {
         QUEUED.fetch_sub(self.0, Ordering::Relaxed);
     }
--- a/crates/wire/tests/common/mod.rs
+++ b/crates/wire/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the transport share.
+//! Helpers for the tests of the transport.
 #![allow(dead_code)]
 
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,15 +11,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use wire::{Connection, Hello, Kind, Listener, Secret, connect};
 
-/// A port of the system's choice.
+/// A loopback address with a port that the operating system chooses.
 pub(crate) const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// How long a condition may take at most; never a measure of success.
-const CAP: Duration = Duration::from_secs(60);
+/// The timeout of every condition; far above the time that any takes.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 pub(crate) async fn within<T>(what: &str, work: impl Future<Output = T>) -> T {
-    let done = tokio::time::timeout(CAP, work).await;
-    done.unwrap_or_else(|_| panic!("never happened: {what}"))
+    let done = tokio::time::timeout(TIMEOUT, work).await;
+    done.unwrap_or_else(|_| panic!("did not happen in time: {what}"))
 }
 
 pub(crate) fn secret() -> Secret {
@@ -34,7 +34,7 @@
     Listener::bind(ANY, &secret(), hello(Kind::Member, 1)).await.unwrap()
 }
 
-/// Connects as an entry and returns both ends.
+/// Connects as an entry; returns both ends.
 pub(crate) async fn pair(listener: &mut Listener, address: SocketAddr) -> (Connection, Connection) {
     let secret = secret();
     let dialed = connect(address, &secret, hello(Kind::Entry, 2), Kind::Member);
@@ -42,7 +42,7 @@
     (dialed.unwrap(), accepted.unwrap().1)
 }
 
-/// Forwards connections until told to stop; then the open ones stay open and carry nothing.
+/// Forwards connections until stopped. Then open connections stay open but forward nothing.
 pub(crate) struct Forwarder {
     pub(crate) address: SocketAddr,
     stopped: Arc<AtomicBool>,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Returns the transport's cause of an error.
+/// Returns the transport's error that caused `error`.
 pub(crate) fn cause(error: &types::StepError) -> wire::WireError {
     error.cause.downcast_ref::<wire::WireError>().expect("a wire error").clone()
 }
--- a/crates/wire/tests/connection.rs
+++ b/crates/wire/tests/connection.rs
@@ -1,11 +1,11 @@
-//! Connections: order, ends, silence, limits.
+//! Connections: the order of messages, ends, silent peers and limits.
 
 mod common;
 
 use std::time::Duration;
 
 use common::{Forwarder, cause, listen, pair, within};
-use wire::{SILENCE, WireError};
+use wire::{SILENCE_TIMEOUT, WireError};
 
 type Pair = (wire::Sender<Vec<u8>>, wire::Receiver<Vec<u8>>);
 
@@ -19,7 +19,7 @@
 #[tokio::test]
 async fn messages_come_in_order_and_whole() {
     let ((sender, _keep), (_hold, mut receiver)) = halves().await;
-    // Larger than a queue may hold in bytes, and larger than any buffer of the socket.
+    // One is larger than the byte limit of a queue and than any socket buffer.
     let sizes = [0_usize, 1, 100_000, 9 << 20, 5];
     tokio::spawn(async move {
         for size in sizes {
@@ -32,15 +32,13 @@
     }
 }
 
-/// Symptom looked for: a process that tells many others its state runs out of memory while they read
-/// slowly.
-/// Sequence: the state changes again and again while the other side does not read.
-/// Cause it would have: each news of the state is queued though the one before still waits.
+/// Guards against running out of memory while peers read slowly: a process sends its state to many
+/// peers, the state keeps changing, and each update is queued although the previous one still waits.
 #[tokio::test]
 async fn a_sender_sees_when_all_that_it_queued_is_written() {
     let ((sender, _keep), (_hold, mut receiver)) = halves().await;
     within("an empty queue", sender.drained()).await.unwrap();
-    // Together more than the other side and both sockets take unread.
+    // Together more than the peer's queue and both socket buffers hold.
     const MESSAGES: usize = 8;
     let large = vec![7; 8 << 20];
     let (task, sent) = (sender.clone(), large.clone());
@@ -83,9 +81,8 @@
     assert_eq!(within("the end", receiver.recv()).await.unwrap(), None);
 }
 
-/// Symptom: a listener runs full of connections that nobody uses.
-/// Sequence: a connection is accepted and dropped as it is, for its peer is not wanted.
-/// Cause: its heartbeats went on, for they ended with the receiver, and there was none yet.
+/// Guards against unused connections that exhaust a listener: a connection that is dropped before it
+/// is split has no receiver yet whose drop would end the heartbeats.
 #[tokio::test]
 async fn a_connection_dropped_whole_is_closed() {
     let mut listener = listen().await;
@@ -96,9 +93,9 @@
     assert_eq!(within("the end", receiver.recv()).await.unwrap(), None);
 }
 
-/// Symptom: an entry follows a member whose connection carries nothing any more, for good.
-/// Sequence: a device between the two loses track of the connection; it stays open at both ends,
-/// while new connections work. Cause: the state of a socket says nothing about its peer.
+/// Guards against following a member forever over a dead connection: a device between the two loses
+/// track of the connection, which stays open at both ends while new connections work. The state of a
+/// socket does not show that.
 #[tokio::test]
 async fn a_connection_that_carries_nothing_ends_as_silent() {
     let mut listener = listen().await;
@@ -117,19 +114,18 @@
     assert!(sender.try_send(&2).is_err());
 }
 
-/// Symptom: healthy connections break whenever there is nothing to say.
-/// Sequence: no message for longer than the limit. Cause would be: missing heartbeats.
+/// Guards against closing healthy connections without messages for longer than the silence timeout,
+/// which heartbeats prevent.
 #[tokio::test]
 async fn a_quiet_connection_stays_open() {
     let ((sender, _keep), (_hold, mut receiver)) = halves().await;
-    tokio::time::sleep(SILENCE * 2).await;
+    tokio::time::sleep(SILENCE_TIMEOUT * 2).await;
     sender.send(&vec![1]).await.unwrap();
     assert_eq!(within("a message", receiver.recv()).await.unwrap(), Some(vec![1]));
 }
 
-/// Symptom: a sender waits for good on a peer that takes nothing.
-/// Sequence: the other process is stopped; its kernel accepts bytes until its buffers are full.
-/// Cause: writes that make no progress are no error to the socket.
+/// Guards against waiting forever for a peer that reads nothing: its process is paused, and its kernel
+/// accepts bytes until the buffers are full. A socket reports no error for writes without progress.
 #[tokio::test]
 async fn a_peer_that_takes_nothing_is_found_and_the_queue_is_bounded() {
     let ((sender, mut receiver), (_hold, other)) = halves().await;
@@ -143,15 +139,14 @@
             }
         }
     };
-    // `other` is alive but nobody takes its messages.
+    // The connection of `other` is alive, but nobody receives its messages.
     assert_eq!(within("the sender gives up", filled).await, WireError::Silent);
     assert!(within("the receiver ends", receiver.recv()).await.is_err());
     drop(other);
 }
 
-/// Symptom: a process dies of a panic or of memory on bytes from a peer of another release.
-/// Sequence: a message of another type, and one with bytes left over, come in.
-/// Cause would be: a decode that trusts its input.
+/// Guards against a panic or exhausted memory on messages from another release: one of another type,
+/// and one with trailing bytes.
 #[tokio::test]
 async fn a_message_of_another_type_ends_the_connection() {
     let mut listener = listen().await;
@@ -162,7 +157,7 @@
         let (_hold, mut receiver) = accepted.split::<u64, wire::Kind>();
         sender.send(&message).await.unwrap();
         let error = within("the error", receiver.recv()).await.unwrap_err();
-        assert!(matches!(cause(&error), WireError::Garbage(_)), "{error}");
+        assert!(matches!(cause(&error), WireError::Malformed(_)), "{error}");
         assert!(matches!(within("the end", near.recv()).await, Ok(None)));
     }
 }
@@ -171,7 +166,7 @@
 async fn a_message_above_the_limit_is_not_sent() {
     let ((sender, _keep), (_hold, mut receiver)) = halves().await;
     let error = sender.send(&vec![0; wire::FRAME_LIMIT]).await.unwrap_err();
-    assert_eq!(cause(&error), WireError::Oversize(wire::FRAME_LIMIT));
+    assert_eq!(cause(&error), WireError::TooLarge(wire::FRAME_LIMIT));
     sender.send(&vec![1]).await.unwrap();
     assert_eq!(receiver.recv().await.unwrap(), Some(vec![1]));
 }
--- a/crates/wire/tests/decode.rs
+++ b/crates/wire/tests/decode.rs
@@ -1,4 +1,4 @@
-//! Any bytes decode to a message or an error, and a message comes back as it was.
+//! Any bytes decode to a message or an error, and an encoded message decodes to itself.
 
 use proptest::prelude::*;
 use types::{Digest, Millis, Version};
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_declared_length_without_bytes_is_an_error() {
-    // A list that claims two to the 60 elements, followed by nothing.
+    // A list with a declared length of 2^60 elements and no element.
     let frame = [1, 6, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x10];
     assert!(decode::<Vec<Millis>>(&frame[..1]).is_err());
     assert!(decode::<ControlMessage>(&frame).is_err());
--- a/crates/wire/tests/edit.rs
+++ b/crates/wire/tests/edit.rs
@@ -1,4 +1,4 @@
-//! Edits give the document that was written, or none.
+//! Edits result in the document that was written, or in none.
 
 use proptest::prelude::*;
 use types::Document;
--- a/crates/wire/tests/hello.rs
+++ b/crates/wire/tests/handshake.rs
@@ -1,4 +1,4 @@
-//! The hello: who gets in and who does not.
+//! The handshake: which peers are accepted and which are refused.
 
 mod common;
 
@@ -16,24 +16,23 @@
     assert_eq!(*accepted.hello(), hello(Kind::Entry, 2));
 }
 
-/// Symptom: a process of another cluster, or a stranger, could follow or claim.
-/// Sequence: it dials with another secret. Cause would be: a proof that is not checked.
+/// Guards against accepting a process of another cluster, which has another secret, without a check
+/// of its proof.
 #[tokio::test]
 async fn a_dialer_with_another_secret_is_refused() {
     let mut listener = listen().await;
     let other = Secret::new(b"another secret, as long").unwrap();
     let dialed = connect(listener.address(), &other, hello(Kind::Entry, 9), Kind::Member).await;
-    let error = dialed.expect_err("a stranger got in");
+    let error = dialed.expect_err("the dialer was accepted");
     assert_eq!(cause(&error), WireError::RefusedBy(RefusalCause::Proof));
-    // The next one that gets in is the one with the secret.
+    // The next accepted peer is the one with the right secret.
     let address = listener.address();
     let (_dialed, accepted) = pair(&mut listener, address).await;
     assert_eq!(accepted.hello().node, 2);
 }
 
-/// Symptom: an entry takes its service from a stranger who listens on a member's address.
-/// Sequence: the stranger sends back what the dialer itself sent, as its hello and as its proof.
-/// Cause would be: proofs of both sides that are alike.
+/// Guards against an attacker who listens on a member's address and sends back the dialer's own hello
+/// and proof, which works if the proofs of both sides are the same.
 #[tokio::test]
 async fn an_acceptor_that_echoes_is_refused() {
     let socket = TcpListener::bind(ANY).await.unwrap();
@@ -49,15 +48,14 @@
 
 #[tokio::test]
 async fn a_peer_of_another_kind_is_refused() {
-    let me = hello(Kind::Member, 1);
-    let listener = Listener::bind(ANY, &secret(), me).await.unwrap();
+    let own_hello = hello(Kind::Member, 1);
+    let listener = Listener::bind(ANY, &secret(), own_hello).await.unwrap();
     let dialed = connect(listener.address(), &secret(), hello(Kind::Entry, 2), Kind::Entry).await;
     assert_eq!(cause(&dialed.unwrap_err()), WireError::Unexpected(Kind::Member));
 }
 
-/// Symptom: a recorded hello opens a connection for whoever recorded it.
-/// Sequence: a good connection's bytes are recorded on the way and sent again.
-/// Cause would be: a proof that does not cover a nonce of the acceptor's own.
+/// Guards against replaying the recorded bytes of a valid connection, which works if the dialer's
+/// proof does not cover a nonce of the acceptor.
 #[tokio::test]
 async fn a_replayed_hello_is_refused() {
     let mut listener = listen().await;
@@ -91,21 +89,21 @@
     let mut answer = Vec::new();
     let closed = replay.read_to_end(&mut answer);
     let _ = within("the listener closes the replayed connection", closed).await;
-    // The next one accepted is a good one, not the replayed one.
+    // The next accepted connection is a valid one, not the replayed one.
     let secret = secret();
     let dialed = connect(target, &secret, hello(Kind::Entry, 3), Kind::Member);
     let (_dialed, accepted) = tokio::join!(dialed, listener.accept());
     assert_eq!(accepted.unwrap().0.node, 3);
 }
 
-/// Symptom: nobody gets in while one peer connects and says nothing.
-/// Sequence: more silent peers than hellos may run at once connect before a good one.
-/// Cause would be: hellos that run one after the other, or without a time limit.
+/// Guards against silent peers that block all others: more of them connect than handshakes may run at
+/// once, before a valid peer does. Handshakes that run one after the other or without a timeout would
+/// block it.
 #[tokio::test]
 async fn silent_peers_do_not_keep_others_out() {
-    let limits = ListenerLimits { hellos: 2, ..ListenerLimits::default() };
-    let me = hello(Kind::Member, 1);
-    let mut listener = Listener::bind_with(ANY, &secret(), me, limits).await.unwrap();
+    let limits = ListenerLimits { handshakes: 2, ..ListenerLimits::default() };
+    let own_hello = hello(Kind::Member, 1);
+    let mut listener = Listener::bind_with(ANY, &secret(), own_hello, limits).await.unwrap();
     let mut silent = Vec::new();
     for _ in 0..3 {
         silent.push(TcpStream::connect(listener.address()).await.unwrap());
@@ -119,9 +117,9 @@
             }
         }
     });
-    let accepted = within("a good peer gets in", listener.accept()).await.unwrap();
+    let accepted = within("a valid peer is accepted", listener.accept()).await.unwrap();
     assert_eq!(accepted.0.node, 5);
-    within("the good peer is connected", good).await.unwrap();
+    within("the valid peer is connected", good).await.unwrap();
 }
 
 #[tokio::test]
@@ -148,13 +146,13 @@
     pair(&mut listener, address).await;
 }
 
-/// Symptom: a listener runs out of memory or descriptors.
-/// Sequence: more peers connect than it is meant to hold. Cause would be: no limit on open ones.
+/// Guards against a listener that runs out of memory or file descriptors because more peers connect
+/// than it may hold.
 #[tokio::test]
 async fn connections_above_the_limit_are_closed() {
     let limits = ListenerLimits { open: 1, ..ListenerLimits::default() };
-    let me = hello(Kind::Member, 1);
-    let mut listener = Listener::bind_with(ANY, &secret(), me, limits).await.unwrap();
+    let own_hello = hello(Kind::Member, 1);
+    let mut listener = Listener::bind_with(ANY, &secret(), own_hello, limits).await.unwrap();
     let address = listener.address();
     let first = pair(&mut listener, address).await;
     let second = connect(address, &secret(), hello(Kind::Entry, 3), Kind::Member).await;
@@ -164,7 +162,7 @@
     let freed = async {
         while connect(address, &secret(), hello(Kind::Entry, 4), Kind::Member).await.is_err() {}
     };
-    within("the place is free again", freed).await;
+    within("a connection is allowed again", freed).await;
 }
 
 #[test]
--- a/crates/wire/tests/loads.rs
+++ b/crates/wire/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Digests by number give what digests by name gave.
+//! Digests with numbers decode to the digests with names that were encoded.
 
 use types::{Digest, Millis, UpstreamLoad, UpstreamStanding};
 use wire::loads::{LoadNames, LoadNumbers};
@@ -44,15 +44,14 @@
 
 #[test]
 fn after_a_loss_digests_are_dropped_until_the_numbering_begins_anew() {
-    // Symptom: an upstream is called leaving although another one is.
-    // Sequence: a digest with new names is lost between two members; later ones use its numbers.
-    // Cause: the receiver numbered the next names from its own count on.
+    // Guards against marking the wrong upstream as draining: a digest with new names is lost between
+    // two members, and the receiver assigns its own next numbers to the names of later digests.
     let (mut numbers, mut names) = (LoadNumbers::default(), LoadNames::default());
     names.decode(numbers.encode(&digest(1, vec![load(1, 0, false)]))).expect("it is whole");
     let _lost = numbers.encode(&digest(2, vec![load(2, 0, false)]));
     assert_eq!(names.decode(numbers.encode(&digest(3, vec![load(2, 0, true)]))), None);
     assert_eq!(names.decode(numbers.encode(&digest(4, vec![load(3, 0, true)]))), None);
     assert_eq!(names.dropped(), 2);
-    let anew = digest(5, vec![load(2, 0, true)]);
-    assert_eq!(names.decode(LoadNumbers::default().encode(&anew)), Some(anew));
+    let restarted = digest(5, vec![load(2, 0, true)]);
+    assert_eq!(names.decode(LoadNumbers::default().encode(&restarted)), Some(restarted));
 }
