--- a/crates/entry/src/generate.rs
+++ b/crates/entry/src/generate.rs
@@ -100,7 +100,7 @@
     attempts: &mut Attempts,
     progress: &Progress,
 ) -> Result<Retry, RequestError> {
-    let cut = matches!(fault, Fault::Cut(_) | Fault::Silent);
+    let cut = matches!(fault, Fault::Truncated(_) | Fault::Silent);
     if delivered_more && cut && step.stage.repeatable {
         step.core.metrics.extra_call(&step.stage.pool, "resume");
         return Ok(Retry::Same);
--- a/crates/entry/src/step.rs
+++ b/crates/entry/src/step.rs
@@ -160,7 +160,7 @@
             Err(error) if error.reason == Reason::Refused(RefusalReason::NoUpstream) => error,
             result => return result,
         };
-        let absent = matches!(fault, Fault::Connect(_) | Fault::Busy(_) | Fault::Leaving);
+        let absent = matches!(fault, Fault::Connect(_) | Fault::Busy(_) | Fault::Draining);
         if !absent && self.stage.repeatable && attempts.calls < MAX_REPEAT_CALLS {
             attempts.tried.clear();
             return self.pick(attempts, prefix);
@@ -258,7 +258,7 @@
             self.core.metrics.extra_call(&self.stage.pool, "reconnect");
             return Ok(Retry::Same);
         }
-        if !matches!(fault, Fault::Connect(_) | Fault::Leaving) {
+        if !matches!(fault, Fault::Connect(_) | Fault::Draining) {
             let left = self.deadline.saturating_duration_since(Instant::now());
             let allowed = self.core.router.may_retry(&self.stage.pool, left, Instant::now());
             allowed.map_err(|refusal| self.exhausted(fault).retry_after(refusal.retry_after))?;
@@ -269,7 +269,7 @@
 
     fn exhausted(&self, fault: &Fault) -> RequestError {
         let reason = match fault {
-            Fault::Busy(_) | Fault::Leaving => Reason::Declined,
+            Fault::Busy(_) | Fault::Draining => Reason::Declined,
             Fault::Connect(_) => Reason::Refused(RefusalReason::NoUpstream),
             _ => Reason::Upstream,
         };
@@ -335,13 +335,13 @@
     match fault {
         Fault::Connect(_) => (CallEnd::Refused, "refused"),
         Fault::Busy(_) => (CallEnd::Busy, "busy"),
-        Fault::Leaving => (CallEnd::Leaving, "leaving"),
+        Fault::Draining => (CallEnd::Leaving, "leaving"),
         Fault::Silent => (CallEnd::Silent, "silent"),
         Fault::Stale => (CallEnd::Abandoned, "stale"),
         Fault::Deadline => (CallEnd::Abandoned, "deadline"),
-        Fault::Echo => (CallEnd::Failed, "echo"),
-        Fault::Cut(_) => (CallEnd::Failed, "cut"),
+        Fault::IdMismatch => (CallEnd::Failed, "echo"),
+        Fault::Truncated(_) => (CallEnd::Failed, "cut"),
         Fault::Gap(..) => (CallEnd::Failed, "gap"),
-        Fault::Size(_) | Fault::Malformed(_) | Fault::Status(..) => (CallEnd::Failed, "error"),
+        Fault::TooLarge(_) | Fault::Malformed(_) | Fault::Status(..) => (CallEnd::Failed, "error"),
     }
 }
--- a/crates/entry/tests/claims.rs
+++ b/crates/entry/tests/claims.rs
@@ -9,7 +9,7 @@
 use entry::Entry;
 use follower::ClaimError;
 use serde_json::json;
-use support::fake::{Act, Fake, Seen, response, stage_ok};
+use support::fake::{Action, FakeUpstream, Received, response, stage_ok};
 use support::{
     Answer, FakeSession, Pools, SessionCall, open, post, request, until, wait_in_flight,
 };
@@ -32,15 +32,15 @@
     Refuses,
 }
 
-fn script(behavior: Behavior, seen: &Seen) -> Vec<Act> {
+fn script(behavior: Behavior, seen: &Received) -> Vec<Action> {
     match behavior {
         Behavior::Answers | Behavior::Refuses => stage_ok(seen, &json!("booked")),
-        Behavior::Closes => vec![Act::Close],
-        Behavior::Errs => vec![Act::Write(response(500, &seen.id, "", ""))],
-        Behavior::Declines => vec![Act::Write(response(429, &seen.id, "", ""))],
+        Behavior::Closes => vec![Action::Close],
+        Behavior::Errs => vec![Action::Write(response(500, &seen.id, "", ""))],
+        Behavior::Declines => vec![Action::Write(response(429, &seen.id, "", ""))],
         Behavior::Swaps => {
             let other = types::CallId::random().to_string();
-            vec![Act::Write(response(200, &other, "", "{}"))]
+            vec![Action::Write(response(200, &other, "", "{}"))]
         }
     }
 }
@@ -48,8 +48,8 @@
 struct Fixture {
     entry: Entry<FakeSession>,
     session: Arc<FakeSession>,
-    encode: Fake,
-    book: [Fake; 2],
+    encode: FakeUpstream,
+    book: [FakeUpstream; 2],
 }
 
 impl Fixture {
@@ -62,14 +62,15 @@
 async fn fixture(encode: Behavior, book: Behavior) -> Fixture {
     let gone = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let fakes = (
-        Fake::spawn(move |seen| script(encode, seen)).await,
+        FakeUpstream::spawn(move |seen| script(encode, seen)).await,
         [
-            Fake::spawn(move |seen| script(book, seen)).await,
-            Fake::spawn(move |seen| script(book, seen)).await,
+            FakeUpstream::spawn(move |seen| script(book, seen)).await,
+            FakeUpstream::spawn(move |seen| script(book, seen)).await,
         ],
     );
-    let address =
-        |behavior, fake: &Fake| if behavior == Behavior::Refuses { gone } else { fake.address };
+    let address = |behavior, fake: &FakeUpstream| {
+        if behavior == Behavior::Refuses { gone } else { fake.address }
+    };
     let pools = Pools {
         encode: vec![address(encode, &fakes.0)],
         book: fakes.1.iter().map(|it| address(book, it)).collect(),
@@ -363,13 +364,13 @@
 async fn resends_under_way_share_one_claim_and_one_answer() {
     let gate = Arc::new(Notify::new());
     let wait = Arc::clone(&gate);
-    let encode = Fake::spawn(|seen| stage_ok(seen, &json!(1))).await;
-    let book = Fake::spawn(move |seen| {
+    let encode = FakeUpstream::spawn(|seen| stage_ok(seen, &json!(1))).await;
+    let book = FakeUpstream::spawn(move |seen| {
         let mut acts = stage_ok(seen, &json!("booked"));
-        acts.insert(0, Act::Wait(Arc::clone(&wait)));
+        acts.insert(0, Action::Wait(Arc::clone(&wait)));
         acts
     });
-    let book = [book.await, Fake::spawn(|_| vec![Act::Close]).await];
+    let book = [book.await, FakeUpstream::spawn(|_| vec![Action::Close]).await];
     let pools =
         Pools { encode: vec![encode.address], book: vec![book[0].address], ..Pools::default() };
     let (entry, session) = open(&pools).await;
--- a/crates/entry/tests/front.rs
+++ b/crates/entry/tests/front.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use serde_json::json;
-use support::fake::{Act, Fake, stage_ok};
+use support::fake::{Action, FakeUpstream, stage_ok};
 use support::{
     Answer, Pools, bearer, get, next_bytes, open, open_service, post, read, request, service,
     until, wait_in_flight,
@@ -36,7 +36,7 @@
 /// request that is refused because of its content.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_cannot_run_is_refused_by_name() {
-    let encode = Fake::spawn(|seen| stage_ok(seen, &json!(1))).await;
+    let encode = FakeUpstream::spawn(|seen| stage_ok(seen, &json!(1))).await;
     let pools = Pools { encode: vec![encode.address], ..Pools::default() };
     let (entry, _session) = open(&pools).await;
     let cases = [
@@ -82,7 +82,7 @@
 /// such a body without an error.
 #[tokio::test(flavor = "multi_thread")]
 async fn half_a_request_never_runs() {
-    let encode = Fake::spawn(|seen| stage_ok(seen, &json!(1))).await;
+    let encode = FakeUpstream::spawn(|seen| stage_ok(seen, &json!(1))).await;
     let pools = Pools { encode: vec![encode.address], ..Pools::default() };
     let (entry, _session) = open(&pools).await;
     for (stops, status, reason) in [(true, 408, "read-timeout"), (false, 400, "request-cut")] {
@@ -113,9 +113,9 @@
 async fn resends_join_the_run_under_way_and_outlive_its_first_caller() {
     let gate = Arc::new(Notify::new());
     let wait = Arc::clone(&gate);
-    let encode = Fake::spawn(move |seen| {
+    let encode = FakeUpstream::spawn(move |seen| {
         let mut acts = stage_ok(seen, &json!("own"));
-        acts.insert(0, Act::Wait(Arc::clone(&wait)));
+        acts.insert(0, Action::Wait(Arc::clone(&wait)));
         acts
     });
     let encode = encode.await;
@@ -151,9 +151,9 @@
 async fn a_drain_cuts_nothing_and_closes_everything() {
     let gate = Arc::new(Notify::new());
     let wait = Arc::clone(&gate);
-    let encode = Fake::spawn(move |seen| {
+    let encode = FakeUpstream::spawn(move |seen| {
         let mut acts = stage_ok(seen, &json!(1));
-        acts.insert(0, Act::Wait(Arc::clone(&wait)));
+        acts.insert(0, Action::Wait(Arc::clone(&wait)));
         acts
     });
     let encode = encode.await;
@@ -186,7 +186,7 @@
 /// its version any more, so the version's age must be checked.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_nobody_confirms_is_served_only_where_the_policy_says_so() {
-    let encode = Fake::spawn(|seen| stage_ok(seen, &json!(1))).await;
+    let encode = FakeUpstream::spawn(|seen| stage_ok(seen, &json!(1))).await;
     let pools = Pools { encode: vec![encode.address], ..Pools::default() };
     for (stale, status) in [(Stale::Refuse, 503), (Stale::Serve, 200)] {
         let mut service = service(&pools);
@@ -208,8 +208,8 @@
 /// failed call must be counted, but apart from the one whose result was used.
 #[tokio::test(flavor = "multi_thread")]
 async fn use_is_reported_with_waste_apart() {
-    let encode = Fake::spawn(|seen| match seen.number {
-        0 => vec![Act::Close],
+    let encode = FakeUpstream::spawn(|seen| match seen.number {
+        0 => vec![Action::Close],
         _ => stage_ok(seen, &json!(1)),
     });
     let encode = encode.await;
@@ -255,7 +255,7 @@
 /// 100-continue`, and two requests at once on one connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn other_forms_of_requests_are_served() {
-    let encode = Fake::spawn(|seen| stage_ok(seen, &seen.body["input"])).await;
+    let encode = FakeUpstream::spawn(|seen| stage_ok(seen, &seen.body["input"])).await;
     let pools = Pools { encode: vec![encode.address], ..Pools::default() };
     let (entry, _session) = open(&pools).await;
     let head = format!("POST /v1/pipelines/encode HTTP/1.1\r\nhost: e\r\n{}", bearer());
--- a/crates/entry/tests/path.rs
+++ b/crates/entry/tests/path.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 
 use serde_json::{Value, json};
-use support::fake::{Act, Fake, Seen, response, stage_ok, stream};
+use support::fake::{Action, FakeUpstream, Received, response, stage_ok, stream};
 use support::{Pools, get, open, post, until};
 use tokio::sync::Notify;
 use types::CallId;
@@ -14,12 +14,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn four_stages_give_one_answer_with_time_and_cost() {
     let stage = |name: &'static str| {
-        Fake::spawn(move |seen| {
+        FakeUpstream::spawn(move |seen| {
             stage_ok(seen, &json!({"by": name, "after": seen.body["previous"]["by"]}))
         })
     };
     let (encode, retrieve, rerank) = (stage("e").await, stage("r").await, stage("k").await);
-    let engine = Fake::spawn(|seen| stream(&seen.id, 0, 3)).await;
+    let engine = FakeUpstream::spawn(|seen| stream(&seen.id, 0, 3)).await;
     let pools = Pools {
         encode: vec![encode.address],
         retrieve: vec![retrieve.address],
@@ -41,14 +41,14 @@
     assert_eq!(stages[3]["tokens"], 3);
     // 1 ms busy in each of three stages and 5 ms in the engine, at a cost of 2 per second.
     assert!((body["cost"].as_f64().unwrap() - 0.016).abs() < 1e-9, "{body}");
-    assert_eq!(rerank.seen()[0].body["previous"], json!({"by": "r", "after": "e"}));
-    assert_eq!(engine.seen()[0].body["prompt"].as_str().unwrap().matches("lot").count(), 1);
+    assert_eq!(rerank.received()[0].body["previous"], json!({"by": "r", "after": "e"}));
+    assert_eq!(engine.received()[0].body["prompt"].as_str().unwrap().matches("lot").count(), 1);
     entry.drain().await;
 }
 
 /// Answers correctly, or in one of the ways that could hand one request's result to another
 /// request.
-fn mix_up_answers(seen: &Seen, last: &Mutex<Option<Seen>>) -> Vec<Act> {
+fn mix_up_answers(seen: &Received, last: &Mutex<Option<Received>>) -> Vec<Action> {
     let other = last.lock().unwrap().replace(seen.clone());
     let right = stage_ok(seen, &seen.body["input"]);
     match (seen.number % 6, other) {
@@ -56,14 +56,14 @@
         (1, Some(other)) => stage_ok(&other, &other.body["input"]),
         (3, Some(other)) => {
             let body = format!("{{\"call\":\"{}\",\"output\":{}}}", other.id, other.body["input"]);
-            vec![Act::Write(response(200, &seen.id, "", &body))]
+            vec![Action::Write(response(200, &seen.id, "", &body))]
         }
         (5, _) => match right.into_iter().next() {
-            Some(Act::Write(mut bytes)) => {
+            Some(Action::Write(mut bytes)) => {
                 bytes.truncate(bytes.len() - 3);
-                vec![Act::Write(bytes), Act::Close]
+                vec![Action::Write(bytes), Action::Close]
             }
-            _ => vec![Act::Close],
+            _ => vec![Action::Close],
         },
         _ => right,
     }
@@ -76,7 +76,7 @@
 async fn a_whole_answer_is_always_the_request_s_own() {
     let fakes = async || {
         let last = Mutex::new(None);
-        Fake::spawn(move |seen| mix_up_answers(seen, &last)).await
+        FakeUpstream::spawn(move |seen| mix_up_answers(seen, &last)).await
     };
     let stages = [fakes().await, fakes().await, fakes().await];
     let encode = stages.iter().map(|it| it.address).collect();
@@ -113,11 +113,11 @@
     let hung = Arc::new(AtomicBool::new(false));
     let fake = async || {
         let hung = Arc::clone(&hung);
-        let script = move |seen: &Seen| {
+        let script = move |seen: &Received| {
             let hangs = seen.body["input"] == "hang" && !hung.swap(true, Ordering::SeqCst);
-            if hangs { vec![Act::Hang] } else { stage_ok(seen, &seen.body["input"]) }
+            if hangs { vec![Action::Hang] } else { stage_ok(seen, &seen.body["input"]) }
         };
-        Fake::spawn(script).await
+        FakeUpstream::spawn(script).await
     };
     let stages = [fake().await, fake().await, fake().await];
     let encode = stages.iter().map(|it| it.address).collect();
@@ -143,13 +143,13 @@
 async fn only_one_request_meets_a_silent_connection() {
     let (dead, gate) = (Arc::new(AtomicUsize::new(0)), Arc::new(Notify::new()));
     let (limit, wait) = (Arc::clone(&dead), Arc::clone(&gate));
-    let encode = Fake::spawn(move |seen| {
+    let encode = FakeUpstream::spawn(move |seen| {
         if seen.connection < limit.load(Ordering::SeqCst) {
-            return vec![Act::Hang];
+            return vec![Action::Hang];
         }
         let mut acts = stage_ok(seen, &seen.body["input"]);
         if seen.number < 8 {
-            acts.insert(0, Act::Wait(Arc::clone(&wait)));
+            acts.insert(0, Action::Wait(Arc::clone(&wait)));
         }
         acts
     });
@@ -164,7 +164,7 @@
         assert_eq!(answer.outcome(), "complete", "{answer:?}");
     };
     let first: Vec<_> = (0..8).map(|it| tokio::spawn(ask(it, 7_000))).collect();
-    until(|| encode.seen().len() == 8).await;
+    until(|| encode.received().len() == 8).await;
     gate.notify_waiters();
     for one in first {
         one.await.unwrap();
--- a/crates/entry/tests/streams.rs
+++ b/crates/entry/tests/streams.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{Value, json};
 use support::fake::{
-    Act, Fake, Seen, done, finish, last_chunk, response, stream, stream_head, token,
+    Action, FakeUpstream, Received, done, finish, last_chunk, response, stream, stream_head, token,
 };
 use support::{
     Pools, SessionCall, bearer, open, open_service, post, request, service, until, wait_for_metric,
@@ -21,14 +21,14 @@
 const STREAM: &str = "accept: text/event-stream\r\n";
 
 /// Streams the tokens from the position that the call resumes from.
-fn rest(seen: &Seen, to: u64) -> Vec<Act> {
+fn rest(seen: &Received, to: u64) -> Vec<Action> {
     stream(&seen.id, seen.body["resume_from"].as_u64().unwrap_or(0), to)
 }
 
-fn cut(seen: &Seen, from: u64, to: u64) -> Vec<Act> {
+fn cut(seen: &Received, from: u64, to: u64) -> Vec<Action> {
     let mut acts = vec![stream_head(&seen.id)];
     acts.extend((from..to).map(|position| token(&seen.id, position, &format!("t{position} "))));
-    acts.push(Act::Close);
+    acts.push(Action::Close);
     acts
 }
 
@@ -45,7 +45,7 @@
 struct Case {
     name: &'static str,
     /// The engines' responses; calls are numbered over all engines.
-    script: fn(&Seen, usize) -> Vec<Act>,
+    script: fn(&Received, usize) -> Vec<Action>,
     calls: usize,
 }
 
@@ -94,7 +94,7 @@
         Case {
             name: "cut before the first token",
             script: |seen, number| match number {
-                0 => vec![stream_head(&seen.id), Act::Close],
+                0 => vec![stream_head(&seen.id), Action::Close],
                 _ => rest(seen, 6),
             },
             calls: 2,
@@ -104,9 +104,9 @@
         let count = Arc::new(AtomicUsize::new(0));
         let script = case.script;
         let engine = |count: Arc<AtomicUsize>| {
-            Fake::spawn(move |seen| match seen.path.as_str() {
+            FakeUpstream::spawn(move |seen| match seen.path.as_str() {
                 "/v1/completions" => script(seen, count.fetch_add(1, Ordering::SeqCst)),
-                _ => vec![Act::Write(response(200, &seen.id, "", "{}"))],
+                _ => vec![Action::Write(response(200, &seen.id, "", "{}"))],
             })
         };
         let engines = (engine(Arc::clone(&count)).await, engine(Arc::clone(&count)).await);
@@ -132,9 +132,9 @@
 /// must not be the only sign.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_fails_ends_in_one_error_event() {
-    let engine = Fake::spawn(|seen| match seen.body["resume_from"].as_u64() {
+    let engine = FakeUpstream::spawn(|seen| match seen.body["resume_from"].as_u64() {
         None => cut(seen, 0, 2),
-        Some(_) => vec![Act::Write(response(500, &seen.id, "", ""))],
+        Some(_) => vec![Action::Write(response(500, &seen.id, "", ""))],
     });
     let engine = engine.await;
     let generate = vec![engine.address];
@@ -165,9 +165,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_cancels_its_work() {
     for headers in ["", STREAM] {
-        let engine = Fake::spawn(|seen| match seen.path.as_str() {
-            "/v1/cancel" => vec![Act::Write(response(200, &seen.id, "", "{}"))],
-            _ => vec![stream_head(&seen.id), token(&seen.id, 0, "a"), Act::Hang],
+        let engine = FakeUpstream::spawn(|seen| match seen.path.as_str() {
+            "/v1/cancel" => vec![Action::Write(response(200, &seen.id, "", "{}"))],
+            _ => vec![stream_head(&seen.id), token(&seen.id, 0, "a"), Action::Hang],
         });
         let engine = engine.await;
         let generate = vec![engine.address];
@@ -178,7 +178,7 @@
         until(|| engine.count("/v1/completions") == 1).await;
         drop(caller);
         until(|| engine.count("/v1/cancel") == 1).await;
-        let seen = engine.seen();
+        let seen = engine.received();
         assert_eq!(seen[0].body["request_id"], seen[1].body["request_id"], "{headers:?}");
         // The metric shows that the caller's leaving ended it, not the deadline or a pause of the
         // engine.
@@ -194,7 +194,7 @@
 /// told which text was delivered and continues after it, so that text must lack no token.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resume_carries_all_that_was_delivered() {
-    let engine = Fake::spawn(|seen| match seen.body["resume_from"].as_u64() {
+    let engine = FakeUpstream::spawn(|seen| match seen.body["resume_from"].as_u64() {
         None => cut(seen, 0, 3),
         Some(from) => {
             let head = stream_head(&seen.id);
@@ -206,7 +206,8 @@
     let (entry, _session) = open(&Pools { generate, ..Pools::default() }).await;
     let answer = post(entry.address(), "generate", "", BODY).await;
     assert_eq!(answer.json()["output"], "t0 t1 t2 z", "{answer:?}");
-    let resumed = &engine.seen().into_iter().find(|it| !it.body["resume_from"].is_null()).unwrap();
+    let resumed =
+        &engine.received().into_iter().find(|it| !it.body["resume_from"].is_null()).unwrap();
     assert_eq!(resumed.body["delivered"], json!("t0 t1 t2 "));
     assert_eq!(resumed.body["resume_from"], json!(3));
     entry.drain().await;
@@ -217,7 +218,7 @@
 /// connection, and its tokens must still reach the caller.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_under_a_key_is_whole_and_stored() {
-    let engine = Fake::spawn(|seen| rest(seen, 300)).await;
+    let engine = FakeUpstream::spawn(|seen| rest(seen, 300)).await;
     let generate = vec![engine.address];
     let (entry, session) = open(&Pools { generate, ..Pools::default() }).await;
     let headers = format!("{STREAM}idempotency-key: k1\r\n");
@@ -251,7 +252,7 @@
 /// The number of generated tokens has to reach admission.
 #[tokio::test(flavor = "multi_thread")]
 async fn generated_tokens_count_against_the_limit() {
-    let engine = Fake::spawn(|seen: &Seen| rest(seen, 6)).await;
+    let engine = FakeUpstream::spawn(|seen: &Received| rest(seen, 6)).await;
     let mut service = service(&Pools { generate: vec![engine.address], ..Pools::default() });
     for customer in service.customers.values_mut() {
         customer.limits.tokens = Some(Rate(0.01));
--- a/crates/follower/src/session.rs
+++ b/crates/follower/src/session.rs
@@ -11,7 +11,7 @@
 use types::{Digest, Document, StepError, StepResult, Version};
 use wire::loads::LoadNames;
 use wire::session::{ControlMessage, EntryMessage, Ticket, UsageReport};
-use wire::{Connection, Datagrams, Hello, Kind, Quiet, Secret, Sender};
+use wire::{Connection, Datagrams, Hello, Kind, LogThrottle, Secret, Sender};
 
 use crate::link::{Order, Shared};
 use crate::outbox::Outbox;
@@ -60,7 +60,7 @@
     load: LoadDelta,
     gate: DigestGate,
     names: LoadNames,
-    faults: Quiet,
+    faults: LogThrottle,
 }
 
 impl Task {
@@ -88,7 +88,7 @@
             draining: false,
             gate: DigestGate::default(),
             names: LoadNames::default(),
-            faults: Quiet::new(FAULT_PERIOD),
+            faults: LogThrottle::new(FAULT_PERIOD),
         }
     }
 
@@ -206,7 +206,7 @@
 
     fn failed(&mut self, member: SocketAddr, error: &StepError) {
         self.choice.failed(member, Instant::now(), &mut rand::rng());
-        if let Some(held) = self.faults.pass() {
+        if let Some(held) = self.faults.allow() {
             log::warn!(peer = member.to_string(), held; "control session ended: {error}");
         }
     }
--- a/crates/mothplank/src/commands/registry.rs
+++ b/crates/mothplank/src/commands/registry.rs
@@ -24,7 +24,7 @@
         address: settings.address,
         seeds: settings.seeds,
         bootstrap: settings.bootstrap,
-        max_losses: settings.losses,
+        max_losses: settings.max_losses,
     };
     host::run(
         &settings.vm,
--- a/crates/registry/src/hub.rs
+++ b/crates/registry/src/hub.rs
@@ -202,7 +202,7 @@
             tokio::select! {
                 // Updates wait here until the queue is empty: an entry that reads slowly gets only the
                 // newest state, and the memory per connection is bounded by the size of one update.
-                drained = sender.drained(), if outdated => {
+                drained = sender.flushed(), if outdated => {
                     drained?;
                     outdated = false;
                     let current_view = view.borrow_and_update().clone();
--- a/crates/registry/src/package.rs
+++ b/crates/registry/src/package.rs
@@ -19,7 +19,7 @@
 const HASH_BYTES: u32 = 8;
 
 /// The maximum size of an unpacked text, in bytes: the size limit of a frame.
-const MAX_TEXT_BYTES: usize = wire::FRAME_LIMIT;
+const MAX_TEXT_BYTES: usize = wire::MAX_FRAME_BYTES;
 
 /// Identifies a package: packages with the same id have the same bytes on every member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/upstream/src/body.rs
+++ b/crates/upstream/src/body.rs
@@ -19,7 +19,7 @@
         let deadline = idle_at.min(limits.deadline.into());
         let frame = match timeout_at(deadline, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
-            Ok(Some(Err(e))) => return Err(Fault::Cut(e.to_string())),
+            Ok(Some(Err(e))) => return Err(Fault::Truncated(e.to_string())),
             Ok(None) => return Ok(None),
             Err(_) if deadline < idle_at => return Err(Fault::Deadline),
             Err(_) => return Err(Fault::Silent),
@@ -39,7 +39,7 @@
 /// Reads the whole body.
 pub(crate) async fn whole(body: &mut Incoming, limits: &Limits) -> Result<Bytes, Fault> {
     if body.size_hint().lower() > limits.max_bytes {
-        return Err(Fault::Size(limits.max_bytes));
+        return Err(Fault::TooLarge(limits.max_bytes));
     }
     let Some(first) = next(body, limits).await? else {
         return Ok(Bytes::new());
@@ -50,7 +50,7 @@
     let mut all = BytesMut::from(first);
     while let Some(data) = next(body, limits).await? {
         if (all.len() + data.len()) as u64 > limits.max_bytes {
-            return Err(Fault::Size(limits.max_bytes));
+            return Err(Fault::TooLarge(limits.max_bytes));
         }
         all.extend_from_slice(&data);
     }
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -216,7 +216,7 @@
 
     async fn read(&mut self) -> Result<(), Fault> {
         let Some((_, body)) = &mut self.opened else {
-            return Err(Fault::Cut("the stream has ended".to_owned()));
+            return Err(Fault::Truncated("the stream has ended".to_owned()));
         };
         let mut limits = self.limits;
         if !self.started {
@@ -226,12 +226,12 @@
             Some(data) => {
                 self.size += data.len() as u64;
                 if self.size > limits.max_bytes {
-                    return Err(Fault::Size(limits.max_bytes));
+                    return Err(Fault::TooLarge(limits.max_bytes));
                 }
                 self.lines.push(&data);
                 Ok(())
             }
-            None => Err(Fault::Cut("the stream closed before its end event".to_owned())),
+            None => Err(Fault::Truncated("the stream closed before its end event".to_owned())),
         }
     }
 
@@ -240,7 +240,7 @@
         let chunk: Chunk =
             serde_json::from_slice(data).map_err(|e| Fault::Malformed(e.to_string()))?;
         if chunk.id != self.call {
-            return Err(Fault::Echo);
+            return Err(Fault::IdMismatch);
         }
         if !self.started {
             self.started = true;
@@ -278,11 +278,13 @@
     /// Handles the end event. The stream is complete only if a finish reason came before it.
     async fn finish(&mut self) -> Result<EngineEvent, CallError> {
         let Some(usage) = self.usage else {
-            return Err(self.fail(Fault::Cut("the end came without a finish reason".to_owned())));
+            return Err(
+                self.fail(Fault::Truncated("the end came without a finish reason".to_owned()))
+            );
         };
         self.cancel.disarm();
         let Some((lease, mut body)) = self.opened.take() else {
-            return Err(self.fail(Fault::Cut("the stream has ended".to_owned())));
+            return Err(self.fail(Fault::Truncated("the stream has ended".to_owned())));
         };
         // The stream is complete. The connection is reused only if the body ends properly, too.
         let ended = matches!(body::next(&mut body, &self.limits).await, Ok(None));
--- a/crates/upstream/src/exchange.rs
+++ b/crates/upstream/src/exchange.rs
@@ -124,7 +124,7 @@
     };
     let first_byte = sent.elapsed();
     if !repeats_id(response.headers(), out.call) {
-        return Err(failed(lease, "check echo", Fault::Echo));
+        return Err(failed(lease, "check echo", Fault::IdMismatch));
     }
     if response.status() != StatusCode::OK {
         return Err(status_error(lease, &response));
@@ -173,7 +173,7 @@
     } else if lease.reused {
         Fault::Stale
     } else {
-        Fault::Cut(error.to_string())
+        Fault::Truncated(error.to_string())
     };
     failed(lease, "read head", fault)
 }
@@ -184,10 +184,10 @@
     let headers = response.headers();
     let fault = match response.status() {
         StatusCode::TOO_MANY_REQUESTS => Fault::Busy(retry_after(headers)),
-        StatusCode::SERVICE_UNAVAILABLE if headers.contains_key(DRAINING_HEADER) => Fault::Leaving,
+        StatusCode::SERVICE_UNAVAILABLE if headers.contains_key(DRAINING_HEADER) => Fault::Draining,
         status => Fault::Status(status.as_u16(), status.to_string()),
     };
-    let declined = matches!(fault, Fault::Busy(_) | Fault::Leaving);
+    let declined = matches!(fault, Fault::Busy(_) | Fault::Draining);
     let reused = lease.reused;
     drop(lease);
     let sent = if declined { Sent::Declined(Declined::new()) } else { Sent::Maybe };
--- a/crates/upstream/src/fault.rs
+++ b/crates/upstream/src/fault.rs
@@ -48,15 +48,15 @@
     /// The upstream is overloaded, with its `Retry-After` if it sent one.
     Busy(Option<Duration>),
     /// The upstream is draining.
-    Leaving,
+    Draining,
     /// The upstream answered with this status.
     Status(u16, String),
     /// The response does not repeat the id of the call.
-    Echo,
+    IdMismatch,
     /// The response is truncated.
-    Cut(String),
+    Truncated(String),
     /// The response is larger than the limit in bytes.
-    Size(u64),
+    TooLarge(u64),
     /// The response violates the protocol.
     Malformed(String),
     /// The stream skipped a position: the expected position and the received one.
@@ -73,11 +73,11 @@
             Fault::Connect(why) => write!(f, "connection refused or timed out: {why}"),
             Fault::Stale => f.write_str("kept connection closed before the response"),
             Fault::Busy(_) => f.write_str("upstream takes no more work for now"),
-            Fault::Leaving => f.write_str("upstream is leaving"),
+            Fault::Draining => f.write_str("upstream is leaving"),
             Fault::Status(status, why) => write!(f, "upstream answered {status}: {why}"),
-            Fault::Echo => f.write_str("response carries another call's id"),
-            Fault::Cut(why) => write!(f, "response ended early: {why}"),
-            Fault::Size(limit) => write!(f, "response exceeds {limit} bytes"),
+            Fault::IdMismatch => f.write_str("response carries another call's id"),
+            Fault::Truncated(why) => write!(f, "response ended early: {why}"),
+            Fault::TooLarge(limit) => write!(f, "response exceeds {limit} bytes"),
             Fault::Malformed(why) => write!(f, "malformed response: {why}"),
             Fault::Gap(want, got) => write!(f, "stream skipped from position {want} to {got}"),
             Fault::Silent => f.write_str("no progress within the limit"),
--- a/crates/upstream/src/sse.rs
+++ b/crates/upstream/src/sse.rs
@@ -23,7 +23,7 @@
         loop {
             let Some(end) = self.buf.iter().position(|b| *b == b'\n') else {
                 return if self.buf.len() > MAX_LINE_BYTES {
-                    Err(Fault::Size(MAX_LINE_BYTES as u64))
+                    Err(Fault::TooLarge(MAX_LINE_BYTES as u64))
                 } else {
                     Ok(None)
                 };
--- a/crates/upstream/src/stage.rs
+++ b/crates/upstream/src/stage.rs
@@ -120,7 +120,7 @@
         }
     };
     if reply.call != call {
-        return Err(exchange::failed(lease, "check echo", Fault::Echo));
+        return Err(exchange::failed(lease, "check echo", Fault::IdMismatch));
     }
     lease.give_back();
     let ReplyBody { output, busy_us: busy, .. } = reply;
--- a/crates/upstream/tests/engine.rs
+++ b/crates/upstream/tests/engine.rs
@@ -57,7 +57,7 @@
 }
 
 fn is_truncated(end: &Result<(), Fault>) -> bool {
-    matches!(end, Err(Fault::Cut(_)))
+    matches!(end, Err(Fault::Truncated(_)))
 }
 
 /// Guards against passing on duplicate tokens, skipped tokens, tokens of another call, or a truncated
@@ -121,7 +121,7 @@
                 actions
             },
             positions: &[0],
-            end: |it| *it == Err(Fault::Echo),
+            end: |it| *it == Err(Fault::IdMismatch),
         },
         Case {
             name: "closed after a token",
@@ -174,7 +174,7 @@
                 vec![stream_head(&it.id), token(0), token(1), token(2), Action::Hang]
             },
             positions: &[0, 1],
-            end: |it| *it == Err(Fault::Size(20_000)),
+            end: |it| *it == Err(Fault::TooLarge(20_000)),
         },
         Case {
             name: "silent after a token",
--- a/crates/upstream/tests/stage.rs
+++ b/crates/upstream/tests/stage.rs
@@ -67,7 +67,7 @@
         Case {
             name: "another call's id in the header",
             script: |it| vec![Action::Write(response(200, &other_id(), "", &ok_body(it)))],
-            fault: |it| *it == Fault::Echo,
+            fault: |it| *it == Fault::IdMismatch,
             sent: "maybe",
         },
         Case {
@@ -76,7 +76,7 @@
                 let body = format!("{{\"call\":\"{}\",\"output\":1}}", other_id());
                 vec![Action::Write(response(200, &it.id, "", &body))]
             },
-            fault: |it| *it == Fault::Echo,
+            fault: |it| *it == Fault::IdMismatch,
             sent: "maybe",
         },
         Case {
@@ -86,7 +86,7 @@
                 bytes.truncate(bytes.len() - 1);
                 vec![Action::Write(bytes), Action::Close]
             },
-            fault: |it| matches!(it, Fault::Cut(_)),
+            fault: |it| matches!(it, Fault::Truncated(_)),
             sent: "maybe",
         },
         Case {
@@ -108,7 +108,7 @@
         Case {
             name: "a body beyond the limit",
             script: |it| vec![Action::Write(response(200, &it.id, "", &"1".repeat(2_001)))],
-            fault: |it| *it == Fault::Size(2_000),
+            fault: |it| *it == Fault::TooLarge(2_000),
             sent: "maybe",
         },
         Case {
@@ -120,13 +120,13 @@
         Case {
             name: "overloaded, with another call's id",
             script: |_| vec![Action::Write(response(429, &other_id(), "", ""))],
-            fault: |it| *it == Fault::Echo,
+            fault: |it| *it == Fault::IdMismatch,
             sent: "maybe",
         },
         Case {
             name: "draining",
             script: |it| vec![Action::Write(response(503, &it.id, "x-draining: true\r\n", ""))],
-            fault: |it| *it == Fault::Leaving,
+            fault: |it| *it == Fault::Draining,
             sent: "declined",
         },
         Case {
@@ -138,7 +138,7 @@
         Case {
             name: "no answer at all",
             script: |_| vec![Action::Close],
-            fault: |it| matches!(it, Fault::Cut(_)),
+            fault: |it| matches!(it, Fault::Truncated(_)),
             sent: "maybe",
         },
     ];
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -159,8 +159,8 @@
     ///
     /// # Errors
     /// Returns an error where the connection has ended.
-    pub async fn drained(&self) -> StepResult<()> {
-        self.shared.drained().await.map_err(|e| self.step_error(e))
+    pub async fn flushed(&self) -> StepResult<()> {
+        self.shared.flushed().await.map_err(|e| self.step_error(e))
     }
 
     /// Waits until the other side has announced its level, which it does with its first frame, for at
--- a/crates/wire/src/datagram.rs
+++ b/crates/wire/src/datagram.rs
@@ -11,7 +11,7 @@
 use types::{StepError, StepResult};
 
 use crate::secret::{Purpose, TAG_LENGTH};
-use crate::{Quiet, Secret, WireError, frame, traffic};
+use crate::{LogThrottle, Secret, WireError, frame, traffic};
 
 /// The maximum size of a datagram in bytes, including its MAC.
 pub const MAX_DATAGRAM_BYTES: usize = 32 << 10;
@@ -27,7 +27,7 @@
     address: SocketAddr,
     secret: Secret,
     dropped: AtomicU64,
-    throttle: Quiet,
+    throttle: LogThrottle,
 }
 
 impl Datagrams {
@@ -50,7 +50,7 @@
         socket.set_nonblocking(true).map_err(step_error)?;
         let socket = UdpSocket::from_std(socket).map_err(step_error)?;
         let address = socket.local_addr().map_err(step_error)?;
-        let (dropped, throttle) = (AtomicU64::new(0), Quiet::new(LOG_PERIOD));
+        let (dropped, throttle) = (AtomicU64::new(0), LogThrottle::new(LOG_PERIOD));
         Ok(Self { socket, address, secret: secret.clone(), dropped, throttle })
     }
 
@@ -122,7 +122,7 @@
 
     fn record_dropped(&self, from: SocketAddr, error: &WireError) {
         self.dropped.fetch_add(1, Ordering::Relaxed);
-        if let Some(held) = self.throttle.pass() {
+        if let Some(held) = self.throttle.allow() {
             log::warn!(peer = from.to_string(), held; "datagram dropped: {error}");
         }
     }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -77,7 +77,7 @@
         // The codec reports a frame above its limit with this inner error.
         let inner = error.get_ref();
         if inner.is_some_and(|e| e.is::<tokio_util::codec::LengthDelimitedCodecError>()) {
-            return WireError::TooLarge(crate::FRAME_LIMIT);
+            return WireError::TooLarge(crate::MAX_FRAME_BYTES);
         }
         match error.kind() {
             // The TCP user timeout expired: the kernel detected that the other side is silent.
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -8,7 +8,7 @@
 use crate::WireError;
 
 /// The maximum size of a frame in bytes: enough for a whole document or a part of a snapshot.
-pub const FRAME_LIMIT: usize = 64 << 20;
+pub const MAX_FRAME_BYTES: usize = 64 << 20;
 
 /// The maximum size of a frame in bytes until the handshake is complete.
 const MAX_HANDSHAKE_FRAME_BYTES: usize = 1 << 10;
@@ -26,18 +26,18 @@
 
 /// Raises the limit of a codec once the handshake is complete.
 pub(crate) fn raise_limit(codec: &mut LengthDelimitedCodec) {
-    codec.set_max_frame_length(FRAME_LIMIT);
+    codec.set_max_frame_length(MAX_FRAME_BYTES);
 }
 
 /// Encodes a message.
 ///
 /// # Errors
-/// Returns an error where it is larger than [`FRAME_LIMIT`] or postcard can't encode its type.
+/// Returns an error where it is larger than [`MAX_FRAME_BYTES`] or postcard can't encode its type.
 pub fn encode<T: Serialize>(message: &T) -> Result<Bytes, WireError> {
     let frame = postcard::to_extend(message, vec![MESSAGE_TAG])
         .map_err(|e| WireError::Malformed(e.to_string()))?;
-    if frame.len() > FRAME_LIMIT {
-        return Err(WireError::TooLarge(FRAME_LIMIT));
+    if frame.len() > MAX_FRAME_BYTES {
+        return Err(WireError::TooLarge(MAX_FRAME_BYTES));
     }
     Ok(frame.into())
 }
--- a/crates/wire/src/io_tasks.rs
+++ b/crates/wire/src/io_tasks.rs
@@ -74,7 +74,7 @@
     }
 
     /// Waits until all queued frames are written.
-    pub(crate) async fn drained(&self) -> Result<(), WireError> {
+    pub(crate) async fn flushed(&self) -> Result<(), WireError> {
         tokio::select! {
             all = self.space.acquire_many(QUEUE_UNITS) => all.map(drop).map_err(|_| WireError::Closed),
             () = self.ended.cancelled() => Err(self.cause()),
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -25,10 +25,10 @@
 pub use connection::{Connection, Encoded, Receiver, Sender, connect};
 pub use datagram::{Datagrams, MAX_DATAGRAM_BYTES};
 pub use error::{RefusalCause, WireError};
-pub use frame::{FRAME_LIMIT, decode, encode};
+pub use frame::{MAX_FRAME_BYTES, decode, encode};
 pub use handshake::{Hello, Kind, PROTOCOL};
 pub use listener::{Listener, ListenerLimits};
-pub use log_throttle::Quiet;
+pub use log_throttle::LogThrottle;
 pub use secret::{MIN_SECRET_BYTES, Secret};
 pub use traffic::Traffic;
 
--- a/crates/wire/src/listener.rs
+++ b/crates/wire/src/listener.rs
@@ -12,7 +12,7 @@
 
 use crate::handshake::Frames;
 use crate::{
-    Connection, HANDSHAKE_TIMEOUT, Hello, Quiet, Secret, WireError, connection, handshake,
+    Connection, HANDSHAKE_TIMEOUT, Hello, LogThrottle, Secret, WireError, connection, handshake,
 };
 
 /// The pause after a failure to accept a connection, for example for lack of file descriptors.
@@ -51,7 +51,7 @@
     own: Hello,
     handshakes: Arc<Semaphore>,
     open: Arc<Semaphore>,
-    throttle: Quiet,
+    throttle: LogThrottle,
 }
 
 impl Listener {
@@ -81,7 +81,7 @@
             own,
             handshakes: Arc::new(Semaphore::new(limits.handshakes)),
             open: Arc::new(Semaphore::new(limits.open)),
-            throttle: Quiet::new(REFUSAL_PERIOD),
+            throttle: LogThrottle::new(REFUSAL_PERIOD),
         };
         let (sender, accepted) = mpsc::channel(limits.handshakes);
         let stop = CancellationToken::new();
@@ -159,7 +159,7 @@
 
 impl Acceptor {
     fn log_refusal(&self, step: &str, error: &WireError, peer: Option<SocketAddr>) {
-        let Some(held) = self.throttle.pass() else {
+        let Some(held) = self.throttle.allow() else {
             return;
         };
         let peer = peer.map_or_else(|| "unknown".to_owned(), |it| it.to_string());
--- a/crates/wire/src/log_throttle.rs
+++ b/crates/wire/src/log_throttle.rs
@@ -5,14 +5,14 @@
 
 /// Allows one log line per period and counts the suppressed ones.
 #[derive(Debug)]
-pub struct Quiet {
+pub struct LogThrottle {
     start: Instant,
     period: Duration,
     next_ms: AtomicU64,
     suppressed: AtomicU64,
 }
 
-impl Quiet {
+impl LogThrottle {
     /// Creates a throttle that allows one line per period.
     pub fn new(period: Duration) -> Self {
         Self {
@@ -24,7 +24,7 @@
     }
 
     /// Returns the number of lines suppressed since the last one, or `None` if this one is suppressed too.
-    pub fn pass(&self) -> Option<u64> {
+    pub fn allow(&self) -> Option<u64> {
         let now_ms = self.start.elapsed().as_millis() as u64;
         let next_ms = self.next_ms.load(Ordering::Relaxed);
         let following_ms = now_ms + self.period.as_millis() as u64;
--- a/crates/wire/src/session.rs
+++ b/crates/wire/src/session.rs
@@ -214,4 +214,4 @@
 }
 
 /// The load of an upstream as a control member observed it and reports it to its peers.
-pub type UpstreamSighting = UpstreamLoad;
+pub type UpstreamObservation = UpstreamLoad;
--- a/crates/wire/tests/connection.rs
+++ b/crates/wire/tests/connection.rs
@@ -37,7 +37,7 @@
 #[tokio::test]
 async fn a_sender_sees_when_all_that_it_queued_is_written() {
     let ((sender, _keep), (_hold, mut receiver)) = halves().await;
-    within("an empty queue", sender.drained()).await.unwrap();
+    within("an empty queue", sender.flushed()).await.unwrap();
     // Together more than the peer's queue and both socket buffers hold.
     const MESSAGES: usize = 8;
     let large = vec![7; 8 << 20];
@@ -48,7 +48,7 @@
         }
     });
     within("a message", receiver.recv()).await.unwrap();
-    let early = tokio::time::timeout(Duration::from_millis(300), sender.drained()).await;
+    let early = tokio::time::timeout(Duration::from_millis(300), sender.flushed()).await;
     assert!(early.is_err(), "the queue counts as empty while a message waits in it");
     assert!(wire::Traffic::read().queued >= large.len() as u64);
     for _ in 1..MESSAGES {
@@ -56,7 +56,7 @@
         assert_eq!(message.map(|it| it.len()), Some(large.len()));
     }
     within("all sent", sends).await.unwrap();
-    within("an empty queue", sender.drained()).await.unwrap();
+    within("an empty queue", sender.flushed()).await.unwrap();
 }
 
 #[tokio::test]
@@ -165,8 +165,8 @@
 #[tokio::test]
 async fn a_message_above_the_limit_is_not_sent() {
     let ((sender, _keep), (_hold, mut receiver)) = halves().await;
-    let error = sender.send(&vec![0; wire::FRAME_LIMIT]).await.unwrap_err();
-    assert_eq!(cause(&error), WireError::TooLarge(wire::FRAME_LIMIT));
+    let error = sender.send(&vec![0; wire::MAX_FRAME_BYTES]).await.unwrap_err();
+    assert_eq!(cause(&error), WireError::TooLarge(wire::MAX_FRAME_BYTES));
     sender.send(&vec![1]).await.unwrap();
     assert_eq!(receiver.recv().await.unwrap(), Some(vec![1]));
 }
