--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -164,11 +164,11 @@
     }
 
     /// Waits until the other side has announced its level, which it does with its first frame, for at
-    /// most `patience`: releases without levels never announce one.
-    pub async fn wait_level(&self, patience: Duration) {
+    /// most `max_wait`: releases without levels never announce one.
+    pub async fn wait_level(&self, max_wait: Duration) {
         let mut level = self.shared.level.subscribe();
         // After the timeout the level stays 0 until it is announced.
-        let _ = timeout(patience, level.wait_for(|it| *it > 0)).await;
+        let _ = timeout(max_wait, level.wait_for(|it| *it > 0)).await;
     }
 
     /// Returns the level that the other side has announced so far; 0 for none. Where packets are lost it
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -2,8 +2,8 @@
 //!
 //! The dialer sends its hello and a nonce, the acceptor its own hello and nonce, then the dialer its
 //! proof, then the acceptor its proof. A proof is a MAC over both hellos and both nonces, so it is
-//! invalid on any other connection. The acceptor sends its proof last, so strangers get no MAC from
-//! it.
+//! invalid on any other connection. The acceptor sends its proof last, so peers without the secret get
+//! no MAC from it.
 
 use std::fmt;
 
--- a/crates/wire/src/listener.rs
+++ b/crates/wire/src/listener.rs
@@ -115,8 +115,8 @@
 async fn run(socket: TcpListener, acceptor: Arc<Acceptor>, accepted: mpsc::Sender<Connection>) {
     loop {
         // A peer that connects and sends nothing would block all others if the handshake ran here.
-        // Each handshake has its own task, and their number is limited, so that strangers can't
-        // exhaust the memory.
+        // Each handshake has its own task, and their number is limited, so that
+        // unauthenticated peers can't exhaust the memory.
         let Ok(slot) = Arc::clone(&acceptor.handshakes).acquire_owned().await else {
             return;
         };
--- a/crates/wire/src/log_throttle.rs
+++ b/crates/wire/src/log_throttle.rs
@@ -1,4 +1,4 @@
-//! Limits the rate of log lines that strangers or a faulty peer can cause.
+//! Limits the rate of log lines that unauthenticated or faulty peers can cause.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Returns the number of lines suppressed since the last one, or `None` if this one is suppressed too.
+    /// Returns the number of lines suppressed since the last logged one, or `None` if this line must be
+    /// suppressed too.
     pub fn allow(&self) -> Option<u64> {
         let now_ms = self.start.elapsed().as_millis() as u64;
         let next_ms = self.next_ms.load(Ordering::Relaxed);
--- a/crates/wire/tests/connection.rs
+++ b/crates/wire/tests/connection.rs
@@ -62,9 +62,9 @@
 #[tokio::test]
 async fn each_side_tells_its_level() {
     let ((dialed, _keep), (accepted, _hold)) = halves().await;
-    let patience = Duration::from_secs(10);
-    dialed.wait_level(patience).await;
-    accepted.wait_level(patience).await;
+    let max_wait = Duration::from_secs(10);
+    dialed.wait_level(max_wait).await;
+    accepted.wait_level(max_wait).await;
     assert_eq!((dialed.level(), accepted.level()), (wire::LEVEL, wire::LEVEL));
 }
 
--- a/crates/wire/tests/datagram.rs
+++ b/crates/wire/tests/datagram.rs
@@ -13,7 +13,7 @@
     let receiver = Datagrams::bind(ANY, &secret()).await.unwrap();
     let sender = Datagrams::bind(ANY, &secret()).await.unwrap();
     let other = Secret::new(b"another secret, as long").unwrap();
-    let stranger = Datagrams::bind(ANY, &other).await.unwrap();
+    let outsider = Datagrams::bind(ANY, &other).await.unwrap();
     let raw = UdpSocket::bind(ANY).await.unwrap();
 
     // Captures a valid datagram and flips a bit.
@@ -27,7 +27,7 @@
     raw.send_to(&[0; 31], to).await.unwrap();
     raw.send_to(&[0; 100], to).await.unwrap();
     raw.send_to(&corrupted[..length], to).await.unwrap();
-    stranger.send(to, &8_u64).await.unwrap();
+    outsider.send(to, &8_u64).await.unwrap();
     sender.send(to, &9_u64).await.unwrap();
     let (from, message) = within("the valid one", receiver.recv::<u64>()).await.unwrap();
     assert_eq!((from, message), (sender.address(), 9));
