--- a/crates/follower/src/session.rs
+++ b/crates/follower/src/session.rs
@@ -11,7 +11,7 @@
 use types::{Digest, Document, StepError, StepResult, Version};
 use wire::loads::LoadNames;
 use wire::session::{ControlMessage, EntryMessage, Ticket, UsageReport};
-use wire::{Connection, Datagrams, Hello, Kind, Quiet, Secret, Sender};
+use wire::{Connection, Datagrams, Hello, Kind, LogThrottle, Secret, Sender};
 
 use crate::confirm_requests::ConfirmRequests;
 use crate::outbox::Outbox;
@@ -60,7 +60,7 @@
     load_reporter: LoadReporter,
     digest_filter: DigestFilter,
     load_names: LoadNames,
-    failure_log: Quiet,
+    failure_log: LogThrottle,
 }
 
 impl Task {
@@ -88,7 +88,7 @@
             draining: false,
             digest_filter: DigestFilter::default(),
             load_names: LoadNames::default(),
-            failure_log: Quiet::new(FAILURE_LOG_INTERVAL),
+            failure_log: LogThrottle::new(FAILURE_LOG_INTERVAL),
         }
     }
 
@@ -209,7 +209,7 @@
 
     fn failed(&mut self, member: SocketAddr, error: &StepError) {
         self.member_selector.failed(member, Instant::now(), &mut rand::rng());
-        if let Some(held) = self.failure_log.pass() {
+        if let Some(held) = self.failure_log.allow() {
             log::warn!(peer = member.to_string(), held;
                 "the session with a control member failed; reconnecting: {error}");
         }
