--- a/crates/mothplank/src/commands/check.rs
+++ b/crates/mothplank/src/commands/check.rs
@@ -45,10 +45,10 @@
         Ok(document) => document,
         Err(e) => return (None, faults(e)),
     };
-    let warnings = found.locate(settings::unusual(&document));
+    let warnings = found.with_paths(settings::warnings(&document));
     match settings::check(&document) {
         Ok(()) => (Some(document), Findings { faults: Vec::new(), warnings }),
-        Err(e) => (None, Findings { faults: found.locate(e.0), warnings }),
+        Err(e) => (None, Findings { faults: found.with_paths(e.0), warnings }),
     }
 }
 
--- a/crates/mothplank/tests/docs.rs
+++ b/crates/mothplank/tests/docs.rs
@@ -17,7 +17,7 @@
         let row = PAGE.lines().find(|it| it.starts_with(&start));
         let row = row.unwrap_or_else(|| panic!("{} is not explained", key.path));
         let by_site = row.split('|').nth(4).unwrap().trim() == "site";
-        assert_eq!(by_site, key.by_site, "{row}");
+        assert_eq!(by_site, key.overridable, "{row}");
     }
 }
 
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong in a file, where, and what to do about it.
+//! Faults in settings files: the place, the message and how to fix them.
 
 use std::fmt;
 
@@ -9,11 +9,11 @@
 pub struct Fault {
     /// The file: `base`, an overlay's site, or a path.
     pub file: String,
-    /// The line, from 1.
+    /// The line number, from 1.
     pub line: usize,
     /// What is wrong.
     pub message: String,
-    /// What to do about it.
+    /// How to fix it.
     pub mend: String,
 }
 
@@ -23,12 +23,12 @@
     }
 }
 
-/// Every fault found at once.
+/// All faults that were found, as one error.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// Returns `Ok` where there is no fault, else all of them in the order of files and lines.
+    /// Returns `Ok` if there is no fault, otherwise all faults sorted by file and line.
     pub(crate) fn into_result(mut self) -> Result<(), Faults> {
         if self.0.is_empty() {
             return Ok(());
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! Node settings and the service's base file with site overlays: reading, checking, resolving.
+//! Reads, checks and resolves settings: the settings file of a node, and the base file of the
+//! service with its overlays by site.
 
 mod document;
 mod fault;
@@ -9,14 +10,14 @@
 mod reference;
 mod rules;
 mod schema;
+mod schema_check;
 mod service;
 mod shape;
 mod source;
-mod walk;
 
 pub use document::{DocumentFiles, read_document};
 pub use fault::{Fault, Faults};
 pub use node::{ControlPart, EntryPart, Member, NodeSettings, Operator};
 pub use nodes::check_nodes;
 pub use reference::{Key, node_keys, service_keys};
-pub use service::{check, resolve, unusual};
+pub use service::{check, resolve, warnings};
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,4 +1,4 @@
-//! The settings of one node: what a process cannot learn from the service.
+//! The settings of one node, which a process needs before it can learn the service's settings.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,27 +11,28 @@
 use crate::document::read_file;
 use crate::node_rules::check_node;
 use crate::schema::NODE;
+use crate::schema_check::{FileKind, check_schema};
 use crate::source::Source;
-use crate::walk::{Extent, walk};
 
-/// One node's settings file.
+/// The settings file of one node.
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// This VM's name, as the platform's list names it.
+    /// The name of this VM, as in the platform's list of VMs.
     pub vm: VmName,
-    /// The site this VM lies in.
+    /// The site of this VM.
     pub site: SiteName,
-    /// The failure domain this VM lies in.
+    /// The failure domain of this VM.
     pub domain: DomainName,
-    /// The secret that the system's own processes prove to each other; at least 16 bytes.
+    /// The shared secret by which the processes of the cluster authenticate each other, at least
+    /// 16 bytes.
     pub secret: String,
-    /// Every control member, and every spare VM that may become one.
+    /// All control members, and the spare VMs that may become members.
     pub members: Vec<Member>,
-    /// What `mothplank entry` needs; absent where none runs.
+    /// The settings of `mothplank entry`; `None` where no entry runs.
     #[serde(default)]
     pub entry: Option<EntryPart>,
-    /// What `mothplank control` needs; absent where none runs.
+    /// The settings of `mothplank control`; `None` where no control member runs.
     #[serde(default)]
     pub control: Option<ControlPart>,
     /// The log level: `error`, `warn`, `info`, `debug` or `trace`.
@@ -39,7 +40,7 @@
     pub log: String,
 }
 
-// Written out so that a log line with whole settings in it never shows the secret.
+// Implemented by hand so that a log line that contains the settings never shows the secret.
 impl fmt::Debug for NodeSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("NodeSettings")
@@ -55,22 +56,22 @@
 }
 
 impl NodeSettings {
-    /// Reads and checks a node's settings file.
+    /// Reads and checks the settings file of a node.
     ///
     /// # Errors
-    /// Every fault at once, with its line.
+    /// Returns all faults of the file, each with its line.
     pub fn read(path: &Path) -> Result<Self, Faults> {
         let text = read_file(path)?;
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Parses and checks the text of a node's settings; `file` names it in faults.
+    /// Parses and checks the settings of a node; `file` is the file name for the faults.
     ///
     /// # Errors
-    /// Every fault at once, with its line.
+    /// Returns all faults of the text, each with its line.
     pub fn parse(file: &str, text: &str) -> Result<Self, Faults> {
         let source = Source::parse(file, text)?;
-        let mut faults = Faults(walk(&source, NODE, Extent::Whole));
+        let mut faults = Faults(check_schema(&source, NODE, FileKind::Complete));
         faults.0.extend(check_node(&source));
         faults.into_result()?;
         serde_json::from_value(source.to_json()?)
@@ -78,63 +79,64 @@
     }
 }
 
-/// Where a control member is reached.
+/// The addresses of a control member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    /// Its VM.
+    /// The VM it runs on.
     pub vm: VmName,
     /// Its site.
     pub site: SiteName,
-    /// Its wire address, TCP and UDP.
+    /// The address for members and entries, TCP and UDP.
     pub wire: SocketAddr,
-    /// Its operators' HTTP address.
+    /// The HTTP address for operators.
     pub http: SocketAddr,
-    /// It takes part only once a voter is lost for good.
+    /// Whether it is a spare: it joins the cluster only after a voter is lost for good.
     #[serde(default)]
     pub spare: bool,
 }
 
-/// The settings of the entry program.
+/// The settings of `mothplank entry`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryPart {
-    /// Where callers reach it; also serves `/livez`, `/readyz`, `/metrics` and `/status`.
+    /// The address for callers, which also serves `/livez`, `/readyz`, `/metrics` and `/status`.
     pub listen: SocketAddr,
-    /// Threads that serve callers.
+    /// The number of threads that serve callers.
     #[serde(default = "four")]
     pub threads: usize,
-    /// The most connections from callers at once.
+    /// The maximum number of open connections from callers.
     #[serde(default = "connections")]
     pub connections: usize,
-    /// How long to keep serving, not ready, while the balancer notices a drain.
+    /// How long a draining entry, already reported as not ready, keeps serving so that the load
+    /// balancer can notice.
     #[serde(default = "notice")]
     pub notice: Millis,
 }
 
-/// The settings of the control program.
+/// The settings of `mothplank control`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlPart {
     /// The data folder.
     pub data: PathBuf,
-    /// The operators who may drive it.
+    /// The operators who may control the service.
     pub operators: Vec<Operator>,
-    /// The address of the platform's list of VMs, served over HTTP.
+    /// The HTTP address of the platform's list of VMs.
     #[serde(default)]
     pub platform: Option<SocketAddr>,
-    /// The size of the log in bytes at which a snapshot replaces it.
+    /// The log size, in bytes, at which the log is compacted into a snapshot.
     #[serde(default = "log_size")]
     pub log_size: ByteSize,
 }
 
-/// An operator who may drive the service.
+/// An operator who may control the service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
-    /// The operator's name, for the audit trail.
+    /// The name that the audit trail records.
     pub name: OperatorName,
-    /// The SHA-256 of the operator's token, in lower case hexadecimal.
+    /// The SHA-256 of the operator's token, in lowercase hexadecimal.
     pub token: String,
 }
 
--- a/crates/settings/src/node_rules.rs
+++ b/crates/settings/src/node_rules.rs
@@ -1,33 +1,33 @@
-//! What must hold between the parts of a node's file.
+//! Consistency rules between the parts of a node's settings file.
 
 use jsonc_parser::ast::{Object, Value};
 
 use crate::Fault;
 use crate::source::{Source, elements, start, text};
 
-/// Collects what is wrong in a node's file beyond its shape.
+/// Returns the faults of a node's file that its schema does not cover.
 pub(crate) fn check_node(source: &Source<'_>) -> Vec<Fault> {
-    let mut rules = NodeRules { source, faults: Vec::new() };
-    rules.members();
-    rules.operators();
-    rules.faults
+    let mut checker = NodeChecker { source, faults: Vec::new() };
+    checker.check_members();
+    checker.check_operators();
+    checker.faults
 }
 
-struct NodeRules<'s, 'a> {
+struct NodeChecker<'s, 'a> {
     source: &'s Source<'a>,
     faults: Vec<Fault>,
 }
 
-impl NodeRules<'_, '_> {
-    fn add(&mut self, at: usize, message: String, mend: impl Into<String>) {
+impl NodeChecker<'_, '_> {
+    fn report(&mut self, at: usize, message: String, mend: impl Into<String>) {
         self.faults.push(self.source.fault(at, message, mend));
     }
 
-    fn members(&mut self) {
+    fn check_members(&mut self) {
         let root = &self.source.root;
         if root.get_array("members").is_some_and(|it| it.elements.is_empty()) {
             let message = "there is no control member".to_owned();
-            self.add(root.range.start, message, "list every control member in \"members\"");
+            self.report(root.range.start, message, "list every control member in \"members\"");
         }
         let members: Vec<&Object<'_>> =
             elements(root, "members").iter().filter_map(Value::as_object).collect();
@@ -36,7 +36,7 @@
             for (value, at) in members.iter().filter_map(|it| text(it, key)) {
                 if seen.contains(&value) {
                     let message = format!("two members have the same {key} {value:?}");
-                    self.add(at, message, "correct one of them");
+                    self.report(at, message, "correct one of them");
                 }
                 seen.push(value);
             }
@@ -45,15 +45,15 @@
         let listed = members.iter().filter_map(|it| text(it, "vm")).any(|it| it.0 == vm);
         if root.get_object("control").is_some() && !listed {
             let message = format!("\"control\" runs here, but {vm:?} is not among the members");
-            self.add(at, message, "add it to \"members\" or remove \"control\"");
+            self.report(at, message, "add it to \"members\" or remove \"control\"");
         }
     }
 
-    fn operators(&mut self) {
+    fn check_operators(&mut self) {
         let Some(control) = self.source.root.get_object("control") else { return };
         if control.get_array("operators").is_some_and(|it| it.elements.is_empty()) {
             let message = "control.operators: nobody may drive the service".to_owned();
-            self.add(control.range.start, message, "add an operator");
+            self.report(control.range.start, message, "add an operator");
         }
         for key in ["name", "token"] {
             let mut seen = Vec::new();
@@ -61,7 +61,7 @@
             for value in operators.filter_map(|it| it.get_string(key)) {
                 if seen.contains(&value.value.as_ref()) {
                     let message = format!("two operators have the same {key}");
-                    self.add(start(&Value::StringLit(value.clone())), message, "correct one");
+                    self.report(start(&Value::StringLit(value.clone())), message, "correct one");
                 }
                 seen.push(value.value.as_ref());
             }
--- a/crates/settings/src/nodes.rs
+++ b/crates/settings/src/nodes.rs
@@ -1,4 +1,4 @@
-//! What must hold between the files of several nodes.
+//! Consistency rules between the settings files of several nodes.
 
 use std::path::PathBuf;
 
@@ -6,19 +6,20 @@
 use crate::source::Source;
 use crate::{Fault, Faults, NodeSettings};
 
-/// One node's file that has no fault of its own.
+/// The file of one node, without faults when looked at alone.
 struct NodeFile<'a> {
     source: Source<'a>,
     node: NodeSettings,
 }
 
-/// Checks the settings files of several nodes, each and between them.
+/// Checks the settings files of several nodes, each by itself and against the others.
 ///
-/// Two VMs of one name would be taken for two lives of one entry, each ending the other's claims;
-/// another secret or list of members shows only as connections refused, long after the start.
+/// Two VMs with the same name would be taken for two incarnations of one entry, and each would end
+/// the claims of the other. A different secret or list of members would show only as refused
+/// connections, long after the start.
 ///
 /// # Errors
-/// Every fault at once, with its line.
+/// Returns all faults, each with its line.
 pub fn check_nodes(paths: &[PathBuf]) -> Result<(), Faults> {
     let mut faults = Faults::default();
     let mut texts = Vec::new();
@@ -30,7 +31,7 @@
     }
     let mut files: Vec<NodeFile<'_>> = Vec::new();
     for (name, text) in &texts {
-        match open(name, text) {
+        match parse_node(name, text) {
             Ok(file) => files.push(file),
             Err(e) => faults.0.extend(e.0),
         }
@@ -39,12 +40,12 @@
         let earlier = &files[..i];
         faults.0.extend(earlier.iter().filter_map(|it| same_vm(it, file)));
         let Some(first) = earlier.first() else { continue };
-        faults.0.extend(differing(first, file));
+        faults.0.extend(mismatches(first, file));
     }
     faults.into_result()
 }
 
-fn open<'a>(name: &'a str, text: &'a str) -> Result<NodeFile<'a>, Faults> {
+fn parse_node<'a>(name: &'a str, text: &'a str) -> Result<NodeFile<'a>, Faults> {
     let node = NodeSettings::parse(name, text)?;
     Ok(NodeFile { source: Source::parse(name, text)?, node })
 }
@@ -62,13 +63,13 @@
     (one.node.vm == *vm).then(|| other.fault("vm", message(), "give each VM its own name"))
 }
 
-fn differing(first: &NodeFile<'_>, other: &NodeFile<'_>) -> Vec<Fault> {
+fn mismatches(first: &NodeFile<'_>, other: &NodeFile<'_>) -> Vec<Fault> {
     let (one, two) = (&first.node, &other.node);
     let pairs = [("secret", one.secret == two.secret), ("members", one.members == two.members)];
-    let differing = pairs.into_iter().filter(|(_, same)| !same);
+    let mismatches = pairs.into_iter().filter(|(_, same)| !same);
     let fault = |(key, _): (&str, bool)| {
         let message = format!("{key:?} differs from {}", first.source.file());
         other.fault(key, message, "write the same on every VM")
     };
-    differing.map(fault).collect()
+    mismatches.map(fault).collect()
 }
--- a/crates/settings/src/reference.rs
+++ b/crates/settings/src/reference.rs
@@ -1,4 +1,4 @@
-//! The list of all keys, for the reference in the operating page and the test that keeps it whole.
+//! Lists all settings keys, for the test that keeps the reference in the operating page complete.
 
 use crate::schema::{NODE, SERVICE};
 use crate::shape::{Field, Shape};
@@ -6,20 +6,20 @@
 /// One key of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Key {
-    /// Its path; `*` stands for a free name, `[]` for the elements of a list.
+    /// Its path; `*` stands for any name, `[]` for the elements of a list.
     pub path: String,
-    /// Whether it must be there.
+    /// Whether it is required.
     pub required: bool,
     /// Whether a site's overlay may change it.
-    pub by_site: bool,
+    pub overridable: bool,
 }
 
-/// Lists the keys of the service's base file.
+/// Returns the keys of the service's base file.
 pub fn service_keys() -> Vec<Key> {
     list(SERVICE)
 }
 
-/// Lists the keys of a node's file.
+/// Returns the keys of a node's settings file.
 pub fn node_keys() -> Vec<Key> {
     list(NODE)
 }
@@ -35,7 +35,7 @@
         let path = format!("{prefix}{}", field.name);
         descend(&field.shape, &path, keys);
         if is_leaf(&field.shape) {
-            keys.push(Key { path, required: field.required, by_site: field.site });
+            keys.push(Key { path, required: field.required, overridable: field.overridable });
         }
     }
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Tells whether a value of this shape has no keys below it.
+/// Returns whether a value of this shape contains no further keys.
 fn is_leaf(shape: &Shape) -> bool {
     match shape {
         Shape::Record(_) => false,
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,28 +1,30 @@
-//! The schema of the service's base file and of a node's file. The typed structs in `types` and
-//! `node` are decoded only from files that fit it; a property test holds the two together.
+//! The schema of the service's base file and of a node's settings file.
+//!
+//! The structs in `types` and `node` are decoded only from files that match the schema. A property
+//! test checks that a file that matches can always be decoded.
 
 use crate::shape::{Field, Shape, bytes, count, millis, number};
 
-/// The longest deadline of a pipeline, in ms.
-const DEADLINE_MOST: u64 = 120_000;
-/// A day in ms.
-const DAY: u64 = 86_400_000;
-/// An upper bound for sizes in bytes: 1 TiB.
-const SIZE_MOST: u64 = 1 << 40;
-/// An upper bound for rates a second and costs.
-const LARGE: f64 = 1e12;
+/// The maximum deadline of a pipeline, in milliseconds.
+const MAX_DEADLINE_MS: u64 = 120_000;
+/// A day in milliseconds.
+const DAY_MS: u64 = 86_400_000;
+/// The maximum size in bytes: 1 TiB.
+const MAX_SIZE_BYTES: u64 = 1 << 40;
+/// The maximum of rates per second and of costs.
+const MAX_NUMBER: f64 = 1e12;
 
-/// The base file.
+/// The keys of the base file.
 pub(crate) static SERVICE: &[Field] = &[
     Field::required("sites", Shape::Map("site", &Shape::Record(SITE))),
     Field::optional("models", Shape::Map("model", &Shape::Record(MODEL))),
-    Field::required("pools", Shape::Map("pool", &Shape::Record(POOL))).by_site(),
-    Field::required("pipelines", Shape::Map("pipeline", &Shape::Record(PIPELINE))).by_site(),
-    Field::required("customers", Shape::Map("customer", &Shape::Record(CUSTOMER))).by_site(),
-    Field::optional("requests", Shape::Record(REQUESTS)).by_site(),
+    Field::required("pools", Shape::Map("pool", &Shape::Record(POOL))).overridable(),
+    Field::required("pipelines", Shape::Map("pipeline", &Shape::Record(PIPELINE))).overridable(),
+    Field::required("customers", Shape::Map("customer", &Shape::Record(CUSTOMER))).overridable(),
+    Field::optional("requests", Shape::Record(REQUESTS)).overridable(),
     Field::optional("claims", Shape::Record(CLAIMS)),
     Field::optional("orders", Shape::Record(ORDERS)),
-    Field::optional("policy", Shape::Record(POLICY)).by_site(),
+    Field::optional("policy", Shape::Record(POLICY)).overridable(),
 ];
 
 const SITE: &[Field] =
@@ -31,7 +33,7 @@
 const MODEL: &[Field] = &[
     Field::required("version", Shape::Text(1)),
     Field::optional("adapters", Shape::List(&Shape::Text(1))),
-    Field::required("weights", bytes(1, SIZE_MOST)),
+    Field::required("weights", bytes(1, MAX_SIZE_BYTES)),
 ];
 
 const POOL: &[Field] = &[
@@ -39,83 +41,83 @@
         "kind",
         Shape::Choice(&["encode", "retrieve", "rerank", "generate", "service"]),
     ),
-    Field::required("upstreams", Shape::Map("upstream", &Shape::Record(UPSTREAM))).by_site(),
-    Field::optional("cost", number("cost units a busy second", 0.0, LARGE)).by_site(),
+    Field::required("upstreams", Shape::Map("upstream", &Shape::Record(UPSTREAM))).overridable(),
+    Field::optional("cost", number("cost units a busy second", 0.0, MAX_NUMBER)).overridable(),
 ];
 
 const UPSTREAM: &[Field] = &[
-    Field::required("address", Shape::Address(false)).by_site(),
+    Field::required("address", Shape::Address(false)).overridable(),
     Field::required("site", Shape::Name),
     Field::required("vm", Shape::Name),
-    Field::required("capacity", count("calls at once", 1, 100_000)).by_site(),
+    Field::required("capacity", count("calls at once", 1, 100_000)).overridable(),
     Field::optional("model", Shape::Name),
     Field::optional("role", Shape::Choice(&["prefill", "decode", "both"])),
     Field::optional("fencing", Shape::Choice(&["checks", "ignores"])),
-    Field::optional("reports", Shape::Flag).by_site(),
-    Field::optional("leaving", Shape::Flag).by_site(),
+    Field::optional("reports", Shape::Bool).overridable(),
+    Field::optional("leaving", Shape::Bool).overridable(),
 ];
 
 const PIPELINE: &[Field] = &[
     Field::required("stages", Shape::List(&Shape::Record(STAGE))),
-    Field::required("deadline", millis(1, DEADLINE_MOST)).by_site(),
-    Field::optional("priority", count("(0 goes first, 7 last)", 0, 7)).by_site(),
+    Field::required("deadline", millis(1, MAX_DEADLINE_MS)).overridable(),
+    Field::optional("priority", count("(0 goes first, 7 last)", 0, 7)).overridable(),
 ];
 
 const STAGE: &[Field] = &[
     Field::required("name", Shape::Name),
     Field::required("pool", Shape::Name),
-    Field::optional("repeatable", Shape::Flag),
+    Field::optional("repeatable", Shape::Bool),
     Field::optional("path", Shape::UrlPath),
     Field::optional("tokens", count("tokens", 1, 1_000_000)),
-    Field::optional("expected", millis(1, DEADLINE_MOST)),
+    Field::optional("expected", millis(1, MAX_DEADLINE_MS)),
 ];
 
 const CUSTOMER: &[Field] = &[
     Field::required("keys", Shape::List(&Shape::Hash)),
-    Field::required("priority", count("(0 goes first, 7 last)", 0, 7)).by_site(),
+    Field::required("priority", count("(0 goes first, 7 last)", 0, 7)).overridable(),
     Field::required("pipelines", Shape::List(&Shape::Name)),
     Field::optional("limits", Shape::Record(LIMITS)),
 ];
 
 const LIMITS: &[Field] = &[
-    Field::optional("rate", number("requests a second", 0.001, LARGE)),
+    Field::optional("rate", number("requests a second", 0.001, MAX_NUMBER)),
     Field::optional("concurrency", count("requests at once", 1, 1_000_000)),
-    Field::optional("tokens", number("tokens a second", 0.001, LARGE)),
+    Field::optional("tokens", number("tokens a second", 0.001, MAX_NUMBER)),
 ];
 
 const REQUESTS: &[Field] = &[
-    Field::optional("body", bytes(64, 64 << 20)).by_site(),
-    Field::optional("read", millis(10, DEADLINE_MOST)).by_site(),
+    Field::optional("body", bytes(64, 64 << 20)).overridable(),
+    Field::optional("read", millis(10, MAX_DEADLINE_MS)).overridable(),
 ];
 
 const CLAIMS: &[Field] = &[
     Field::optional("answer", bytes(0, 1 << 20)),
-    Field::optional("answers", millis(1_000, 30 * DAY)),
+    Field::optional("answers", millis(1_000, 30 * DAY_MS)),
     Field::optional("keys", count("keys", 1, 100_000_000)),
 ];
 
 const ORDERS: &[Field] = &[
-    Field::optional("weights", number("bytes a second", 1.0, LARGE)),
+    Field::optional("weights", number("bytes a second", 1.0, MAX_NUMBER)),
     Field::optional("longest", millis(10, 3_600_000)),
 ];
 
 const POLICY: &[Field] = &[
-    Field::optional("freshness", millis(100, 600_000)).by_site(),
-    Field::optional("stale", Shape::Choice(&["refuse", "serve"])).by_site(),
-    Field::optional("retries", number("retries a fresh request", 0.0, 1.0)).by_site(),
+    Field::optional("freshness", millis(100, 600_000)).overridable(),
+    Field::optional("stale", Shape::Choice(&["refuse", "serve"])).overridable(),
+    Field::optional("retries", number("retries a fresh request", 0.0, 1.0)).overridable(),
     Field::optional("attainment", number("(0 weighs cost only, 1 attainment only)", 0.0, 1.0))
-        .by_site(),
+        .overridable(),
 ];
 
-/// The least length of the cluster's secret, in bytes.
-const SECRET_LEAST: usize = 16;
+/// The minimum length of the shared secret of the cluster, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// A node's file.
+/// The keys of a node's settings file.
 pub(crate) static NODE: &[Field] = &[
     Field::required("vm", Shape::Name),
     Field::required("site", Shape::Name),
     Field::required("domain", Shape::Name),
-    Field::required("secret", Shape::Text(SECRET_LEAST)),
+    Field::required("secret", Shape::Text(MIN_SECRET_BYTES)),
     Field::required("members", Shape::List(&Shape::Record(MEMBER))),
     Field::optional("entry", Shape::Record(ENTRY)),
     Field::optional("control", Shape::Record(CONTROL)),
@@ -127,7 +129,7 @@
     Field::required("site", Shape::Name),
     Field::required("wire", Shape::Address(false)),
     Field::required("http", Shape::Address(false)),
-    Field::optional("spare", Shape::Flag),
+    Field::optional("spare", Shape::Bool),
 ];
 
 const ENTRY: &[Field] = &[
@@ -141,7 +143,7 @@
     Field::required("data", Shape::Text(1)),
     Field::required("operators", Shape::List(&Shape::Record(OPERATOR))),
     Field::optional("platform", Shape::Address(false)),
-    Field::optional("log_size", bytes(4 << 10, SIZE_MOST)),
+    Field::optional("log_size", bytes(4 << 10, MAX_SIZE_BYTES)),
 ];
 
 const OPERATOR: &[Field] =
--- a/crates/settings/src/service.rs
+++ b/crates/settings/src/service.rs
@@ -1,79 +1,79 @@
-//! The service's base file and overlays.
+//! Checks and resolves the service's base file and its overlays.
 
 use types::{Document, Service, SiteName};
 
 use crate::overlay::check_overlay;
-use crate::rules::{check_rules, check_unusual};
+use crate::rules::{check_rules, collect_warnings};
 use crate::schema::SERVICE;
+use crate::schema_check::{FileKind, check_schema};
 use crate::source::{Source, entries};
-use crate::walk::{Extent, walk};
 use crate::{Fault, Faults};
 
 /// The name of the base file in faults.
 pub(crate) const BASE: &str = "base";
 
-/// Checks a document as every one of its sites would see it.
+/// Checks a document for all of its sites.
 ///
 /// # Errors
-/// Every fault at once; of a file with a syntax error the first one only, beside those of the
-/// other files.
+/// Returns the faults of all files. A file with a syntax error contributes only that error.
 pub fn check(document: &Document) -> Result<(), Faults> {
     let mut faults = Faults::default();
-    let base = keep(Source::parse(BASE, &document.base), &mut faults);
+    let base = ok_or_report(Source::parse(BASE, &document.base), &mut faults);
     if let Some(base) = &base {
-        faults.0.extend(walk(base, SERVICE, Extent::Whole));
+        faults.0.extend(check_schema(base, SERVICE, FileKind::Complete));
         faults.0.extend(check_rules(base));
     }
     for (site, text) in &document.overlays {
-        let overlay = keep(Source::parse(site.as_str(), text), &mut faults);
+        let overlay = ok_or_report(Source::parse(site.as_str(), text), &mut faults);
         if let Some(overlay) = &overlay {
-            check_one(overlay, base.as_ref(), site, &mut faults);
+            check_overlay_file(overlay, base.as_ref(), site, &mut faults);
         }
     }
     faults.into_result()?;
     decode_all(document)
 }
 
-/// Lists what is allowed but unusual in a document's base file: each draws a warning.
-pub fn unusual(document: &Document) -> Vec<Fault> {
-    Source::parse(BASE, &document.base).map_or_else(|_| Vec::new(), |it| check_unusual(&it))
+/// Returns warnings about settings in a document's base file that are allowed but unusual.
+pub fn warnings(document: &Document) -> Vec<Fault> {
+    Source::parse(BASE, &document.base).map_or_else(|_| Vec::new(), |it| collect_warnings(&it))
 }
 
-/// Resolves a document for one site. The version is left at 0.
+/// Resolves a document for one site, and leaves the version of the service at 0.
 ///
-/// What was accepted must stay in force: a later binary whose rules are stricter must still
-/// resolve it, or a restarted entry would keep the version out that the others serve. So this
-/// applies no rule beyond what the types need; [`check`] does, before a document is accepted.
+/// An accepted document must stay in force: a later release with stricter rules must still be able
+/// to resolve it, otherwise a restarted entry would reject the version that the other entries
+/// serve. So this function applies only the rules that decoding needs; [`check`] applies all of
+/// them before a document is accepted.
 ///
 /// # Errors
-/// Every fault of the base file and of this site's overlay at once, where they cannot be decoded.
+/// Returns all faults of the base file and of the site's overlay if they cannot be decoded.
 pub fn resolve(document: &Document, site: &SiteName) -> Result<Service, Faults> {
     let mut faults = Faults::default();
-    let base = keep(Source::parse(BASE, &document.base), &mut faults);
+    let base = ok_or_report(Source::parse(BASE, &document.base), &mut faults);
     let text = document.overlays.get(site);
-    let overlay = text.and_then(|it| keep(Source::parse(site.as_str(), it), &mut faults));
+    let overlay = text.and_then(|it| ok_or_report(Source::parse(site.as_str(), it), &mut faults));
     faults.into_result()?;
     let Some(base) = base else { return Err(Faults::default()) };
     decode(&base, overlay.as_ref()).map_err(|undecoded| {
-        let mut faults = Faults(walk(&base, SERVICE, Extent::Whole));
+        let mut faults = Faults(check_schema(&base, SERVICE, FileKind::Complete));
         if let Some(overlay) = &overlay {
-            check_one(overlay, Some(&base), site, &mut faults);
+            check_overlay_file(overlay, Some(&base), site, &mut faults);
         }
         faults.into_result().err().unwrap_or(undecoded)
     })
 }
 
-fn keep<T>(parsed: Result<T, Fault>, faults: &mut Faults) -> Option<T> {
+fn ok_or_report<T>(parsed: Result<T, Fault>, faults: &mut Faults) -> Option<T> {
     parsed.map_err(|e| faults.0.push(e)).ok()
 }
 
-fn check_one(
+fn check_overlay_file(
     overlay: &Source<'_>,
     base: Option<&Source<'_>>,
     site: &SiteName,
     faults: &mut Faults,
 ) {
-    faults.0.extend(walk(overlay, SERVICE, Extent::Patch));
+    faults.0.extend(check_schema(overlay, SERVICE, FileKind::Patch));
     let Some(base) = base else { return };
     faults.0.extend(check_overlay(overlay, base, SERVICE));
     let sites = entries(&base.root, "sites");
@@ -86,8 +86,9 @@
     }
 }
 
-/// Decodes every site's service. A file that fits its shape always decodes; should the schema and
-/// the types ever differ, the operator sees a fault here and no entry sees the document.
+/// Decodes the service of every site. A file that matches its schema can always be decoded. If the
+/// schema and the types ever differ, the operator gets a fault here before any entry gets the
+/// document.
 fn decode_all(document: &Document) -> Result<(), Faults> {
     let base = Source::parse(BASE, &document.base)?;
     decode(&base, None)?;
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -1,28 +1,28 @@
-//! The shape that a file must have: its keys, their types, units and ranges.
+//! The building blocks of a schema: keys, types, units and ranges.
 
-/// What a value must be.
+/// The type of a value, with its constraints.
 pub(crate) enum Shape {
-    /// Any text of at least so many bytes.
+    /// A text of at least this many bytes.
     Text(usize),
-    /// A name: letters, digits, `-`, `_` and `.`, at most 64.
+    /// A name of at most 64 letters, digits, `-`, `_` and `.`.
     Name,
-    /// A whole number in a unit.
-    Whole(Bounds<u64>),
-    /// A number in a unit.
+    /// A non-negative integer with a unit.
+    Integer(Bounds<u64>),
+    /// A number with a unit.
     Number(Bounds<f64>),
     /// `true` or `false`.
-    Flag,
-    /// One of a few words.
+    Bool,
+    /// One of these words.
     Choice(&'static [&'static str]),
-    /// An IP number and a port; the flag lets the port be 0.
+    /// An IP address and a port; with `true`, the port may be 0.
     Address(bool),
-    /// A SHA-256 in lower case hexadecimal.
+    /// A SHA-256 in lowercase hexadecimal.
     Hash,
-    /// A path of a URL.
+    /// The path of a URL.
     UrlPath,
-    /// A list.
+    /// A list of values of one shape.
     List(&'static Shape),
-    /// An object with free names as keys; the text says what the names stand for.
+    /// An object whose keys are names; the text says what they name.
     Map(&'static str, &'static Shape),
     /// An object with these keys.
     Record(&'static [Field]),
@@ -30,60 +30,60 @@
 
 /// The range of a number.
 pub(crate) struct Bounds<T> {
-    /// What is counted, in the plural: `ms`, `bytes`.
+    /// The unit, in the plural: `ms`, `bytes`.
     pub(crate) unit: &'static str,
-    /// The least allowed.
-    pub(crate) least: T,
-    /// The most allowed.
-    pub(crate) most: T,
+    /// The minimum.
+    pub(crate) min: T,
+    /// The maximum.
+    pub(crate) max: T,
 }
 
 /// A key of a record.
 pub(crate) struct Field {
     /// The key.
     pub(crate) name: &'static str,
-    /// What its value must be.
+    /// The shape of its value.
     pub(crate) shape: Shape,
-    /// Whether it must be there.
+    /// Whether it is required.
     pub(crate) required: bool,
     /// Whether a site's overlay may change it.
-    pub(crate) site: bool,
+    pub(crate) overridable: bool,
 }
 
 impl Field {
-    /// A key that must be there.
+    /// Returns a required key.
     pub(crate) const fn required(name: &'static str, shape: Shape) -> Self {
-        Self { name, shape, required: true, site: false }
+        Self { name, shape, required: true, overridable: false }
     }
 
-    /// A key that may be left out.
+    /// Returns an optional key.
     pub(crate) const fn optional(name: &'static str, shape: Shape) -> Self {
-        Self { name, shape, required: false, site: false }
+        Self { name, shape, required: false, overridable: false }
     }
 
-    /// Lets a site's overlay change it.
-    pub(crate) const fn by_site(mut self) -> Self {
-        self.site = true;
+    /// Allows a site's overlay to change the key.
+    pub(crate) const fn overridable(mut self) -> Self {
+        self.overridable = true;
         self
     }
 }
 
-/// A whole number of milliseconds.
-pub(crate) const fn millis(least: u64, most: u64) -> Shape {
-    Shape::Whole(Bounds { unit: "ms", least, most })
+/// Returns the shape of a number of milliseconds.
+pub(crate) const fn millis(min: u64, max: u64) -> Shape {
+    Shape::Integer(Bounds { unit: "ms", min, max })
 }
 
-/// A whole number of bytes.
-pub(crate) const fn bytes(least: u64, most: u64) -> Shape {
-    Shape::Whole(Bounds { unit: "bytes", least, most })
+/// Returns the shape of a number of bytes.
+pub(crate) const fn bytes(min: u64, max: u64) -> Shape {
+    Shape::Integer(Bounds { unit: "bytes", min, max })
 }
 
-/// A whole number of things.
-pub(crate) const fn count(unit: &'static str, least: u64, most: u64) -> Shape {
-    Shape::Whole(Bounds { unit, least, most })
+/// Returns the shape of an integer with a unit.
+pub(crate) const fn count(unit: &'static str, min: u64, max: u64) -> Shape {
+    Shape::Integer(Bounds { unit, min, max })
 }
 
-/// A number.
-pub(crate) const fn number(unit: &'static str, least: f64, most: f64) -> Shape {
-    Shape::Number(Bounds { unit, least, most })
+/// Returns the shape of a number with a unit.
+pub(crate) const fn number(unit: &'static str, min: f64, max: f64) -> Shape {
+    Shape::Number(Bounds { unit, min, max })
 }
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -1,4 +1,4 @@
-//! A parsed file that knows the line of each of its values.
+//! A parsed file that can tell the line of each value.
 
 use jsonc_parser::ast::{Array, Object, ObjectProp, Value};
 use jsonc_parser::common::Ranged;
@@ -6,14 +6,14 @@
 
 use crate::{Fault, Faults};
 
-/// The largest file that is read, in bytes.
-pub(crate) const FILE_LIMIT: usize = 8 << 20;
+/// The maximum size of a file, in bytes.
+pub(crate) const MAX_FILE_BYTES: usize = 8 << 20;
 
 /// A file with its syntax tree.
 pub(crate) struct Source<'a> {
     file: &'a str,
     text: &'a str,
-    /// The byte position of each line's start.
+    /// The byte offset of the start of each line.
     lines: Vec<usize>,
     /// The outermost value.
     pub(crate) root: Object<'a>,
@@ -29,7 +29,7 @@
             message,
             mend: mend.to_owned(),
         };
-        if text.len() > FILE_LIMIT {
+        if text.len() > MAX_FILE_BYTES {
             let message = format!("the file has {} bytes", text.len());
             return Err(fault(0, message, "keep it under 8388608 bytes"));
         }
@@ -44,18 +44,18 @@
         }
     }
 
-    /// Returns the file's name.
+    /// Returns the name of the file.
     pub(crate) fn file(&self) -> &'a str {
         self.file
     }
 
-    /// Returns the whole file as a value.
+    /// Returns the content of the file as a JSON value.
     pub(crate) fn to_json(&self) -> Result<serde_json::Value, Faults> {
         parse_to_serde_value(self.text, &options())
             .map_err(|e| Faults::from(self.fault(0, e.to_string(), "correct the file")))
     }
 
-    /// Makes a fault at a place of the file.
+    /// Returns a fault at a byte offset of the file.
     pub(crate) fn fault(
         &self,
         at: usize,
@@ -67,23 +67,23 @@
     }
 }
 
-/// The entries of an object member that is itself an object; none where it is absent or not one.
+/// Returns the entries of the object at key `name`; none if it is absent or not an object.
 pub(crate) fn entries<'s, 'a>(object: &'s Object<'a>, name: &str) -> &'s [ObjectProp<'a>] {
     object.get_object(name).map_or(&[], |it| &it.properties)
 }
 
-/// The elements of an object member that is an array; none where it is absent or not one.
+/// Returns the elements of the array at key `name`; none if it is absent or not an array.
 pub(crate) fn elements<'s, 'a>(object: &'s Object<'a>, name: &str) -> &'s [Value<'a>] {
     let array: Option<&Array<'a>> = object.get_array(name);
     array.map_or(&[], |it| &it.elements)
 }
 
-/// The text of an object member, with its position.
+/// Returns the text at key `name` with its byte offset.
 pub(crate) fn text<'s>(object: &'s Object<'_>, name: &str) -> Option<(&'s str, usize)> {
     object.get_string(name).map(|it| (it.value.as_ref(), it.range.start))
 }
 
-/// Says what a value is, for a message.
+/// Describes a value for a message.
 pub(crate) fn describe(value: &Value<'_>) -> String {
     match value {
         Value::StringLit(it) => format!("the text {:?}", shorten(&it.value)),
@@ -95,7 +95,7 @@
     }
 }
 
-/// The position of a value.
+/// Returns the byte offset of a value.
 pub(crate) fn start(value: &Value<'_>) -> usize {
     value.range().start
 }
--- a/crates/settings/tests/arbitrary.rs
+++ b/crates/settings/tests/arbitrary.rs
@@ -1,4 +1,4 @@
-//! Parsers meet arbitrary text and damaged files: they name faults and never panic.
+//! Property tests: on arbitrary text and damaged files the parsers return faults and never panic.
 
 use proptest::prelude::*;
 use settings::{NodeSettings, check, resolve};
@@ -6,7 +6,7 @@
 
 const GOOD: &str = include_str!("files/good.jsonc");
 
-fn try_all(text: &str) {
+fn check_parsers(text: &str) {
     let north = "north".parse().unwrap();
     let _ = NodeSettings::parse("node", text);
     let as_base = Document { base: text.to_owned(), ..Document::default() };
@@ -19,7 +19,7 @@
     }
 }
 
-fn json_word() -> impl Strategy<Value = String> {
+fn json_fragment() -> impl Strategy<Value = String> {
     prop::sample::select(vec![
         "{",
         "}",
@@ -51,19 +51,19 @@
 
     #[test]
     fn arbitrary_text(text in any::<String>()) {
-        try_all(&text);
+        check_parsers(&text);
     }
 
     #[test]
-    fn arbitrary_words(words in prop::collection::vec(json_word(), 0..40)) {
-        try_all(&words.concat());
+    fn arbitrary_words(words in prop::collection::vec(json_fragment(), 0..40)) {
+        check_parsers(&words.concat());
     }
 
     #[test]
-    fn damaged_files(at in any::<prop::sample::Index>(), length in 0_usize..30, word in json_word()) {
+    fn damaged_files(at in any::<prop::sample::Index>(), length in 0_usize..30, word in json_fragment()) {
         let starts: Vec<usize> = GOOD.char_indices().map(|(at, _)| at).collect();
         let start = at.index(starts.len());
         let end = starts.get(start + length).copied().unwrap_or(GOOD.len());
-        try_all(&format!("{}{word}{}", &GOOD[..starts[start]], &GOOD[end..]));
+        check_parsers(&format!("{}{word}{}", &GOOD[..starts[start]], &GOOD[end..]));
     }
 }
--- a/crates/settings/tests/node.rs
+++ b/crates/settings/tests/node.rs
@@ -1,4 +1,4 @@
-//! A node's settings.
+//! Tests of the node settings: defaults, faults of one file, faults between files.
 
 use settings::NodeSettings;
 
@@ -98,10 +98,12 @@
     let other = GOOD.replacen("\"vm\": \"vm-1\"", "\"vm\": \"vm-2\"", 1);
     let agrees = file("2", &other);
     assert_eq!(settings::check_nodes(&[first.clone(), agrees]), Ok(()));
-    let twin = file("3", GOOD);
-    let alien = file("4", &other.replace("0123456789abcdef", "another secret 16"));
-    let moved = file("5", &other.replace("10.0.0.2:7100", "10.0.0.9:7100"));
-    let found = settings::check_nodes(&[first, twin, alien, moved]).unwrap_err().to_string();
+    let same_vm = file("3", GOOD);
+    let other_secret = file("4", &other.replace("0123456789abcdef", "another secret 16"));
+    let other_members = file("5", &other.replace("10.0.0.2:7100", "10.0.0.9:7100"));
+    let found = settings::check_nodes(&[first, same_vm, other_secret, other_members])
+        .unwrap_err()
+        .to_string();
     for message in
         ["3:2: vm-1 is also the VM of", "4:3: \"secret\" differs", "5:4: \"members\" differs"]
     {
--- a/crates/settings/tests/service.rs
+++ b/crates/settings/tests/service.rs
@@ -1,4 +1,4 @@
-//! What a document's check finds, and what it resolves to.
+//! Tests of the service's document: the faults that the check finds, and the resolved service.
 
 use settings::{Faults, check, resolve};
 use types::{Document, Millis, SiteName};
@@ -227,10 +227,9 @@
     assert!(!found.to_string().contains(key), "{found}");
 }
 
-// Symptom: after an upgrade an entry that restarts refuses everything, while the others serve.
-// Sequence: a document is accepted; a later binary has a stricter rule; an entry restarts with it
-// and resolves the accepted document.
-// Cause looked for: resolving applies the rules that belong to accepting.
+/// Guards against an entry that refuses all requests after an upgrade while the other entries
+/// serve: a newer binary with a stricter rule restarts and must still resolve the document that was
+/// accepted before. It would fail if `resolve` applied the rules that only acceptance should apply.
 #[test]
 fn what_was_accepted_resolves_under_stricter_rules() {
     let base = GOOD.replace("7000", "7000000").replace("\"pool\": \"stock\"", "\"pool\": \"gone\"");
@@ -254,6 +253,6 @@
     let document = document(&base, &[]);
     check(&document).unwrap();
     let warnings: Vec<String> =
-        settings::unusual(&document).into_iter().map(|it| it.to_string()).collect();
+        settings::warnings(&document).into_iter().map(|it| it.to_string()).collect();
     assert_eq!(warnings.len(), 2, "{warnings:?}");
 }
