--- a/crates/mothplank/src/client.rs
+++ b/crates/mothplank/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the operators' and callers' side.
+//! The HTTP client for the commands of operators and callers.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,50 +10,50 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper_util::client::legacy::connect::HttpConnector;
-use hyper_util::client::legacy::{Client as Pooled, Error as ClientError};
+use hyper_util::client::legacy::{Client as HyperClient, Error as ClientError};
 use hyper_util::rt::TokioExecutor;
 use serde::de::DeserializeOwned;
 use tokio::time::timeout;
 
-/// The longest time to open a connection.
-const CONNECT_TIME: Duration = Duration::from_secs(2);
-/// The largest answer that is read, in bytes.
-const ANSWER_LIMIT: usize = 64 << 20;
+/// The timeout of opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// The maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// One request.
+/// A request.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct HttpRequest {
     /// The method.
     pub(crate) method: Method,
-    /// The path with its query.
+    /// The path with the query.
     pub(crate) path: String,
     /// The bearer token or key.
     pub(crate) bearer: Option<String>,
-    /// Further headers.
+    /// Additional headers.
     pub(crate) headers: Vec<(HeaderName, String)>,
-    /// The JSON body; empty for none.
+    /// The JSON body; empty if there is none.
     pub(crate) body: Bytes,
-    /// The time for the whole exchange.
-    pub(crate) within: Duration,
+    /// The timeout of the exchange.
+    pub(crate) timeout: Duration,
 }
 
-impl Ask {
-    /// Makes a request that reads a page without a token.
-    pub(crate) fn get(path: &str, within: Duration) -> Self {
+impl HttpRequest {
+    /// Creates a `GET` request without a token.
+    pub(crate) fn get(path: &str, timeout: Duration) -> Self {
         Self {
             method: Method::GET,
             path: path.to_owned(),
             bearer: None,
             headers: Vec::new(),
             body: Bytes::new(),
-            within,
+            timeout,
         }
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
-pub(crate) struct Answer {
+pub(crate) struct HttpResponse {
     /// The status.
     pub(crate) status: StatusCode,
     /// The headers.
@@ -62,12 +62,12 @@
     pub(crate) body: Bytes,
 }
 
-/// Why there is no whole answer.
+/// The reason why there is no complete response.
 #[derive(Debug)]
 pub(crate) enum SendError {
-    /// No byte of the request reached the other side.
+    /// The server has received nothing of the request.
     NotSent(String),
-    /// The request may have been received.
+    /// The server may have received the request.
     Lost(String),
 }
 
@@ -82,86 +82,93 @@
 
 impl std::error::Error for SendError {}
 
-/// A client with its own connections.
+/// An HTTP client.
 #[derive(Clone, Debug)]
 pub(crate) struct Client {
-    pooled: Pooled<HttpConnector, Full<Bytes>>,
+    inner: HyperClient<HttpConnector, Full<Bytes>>,
 }
 
 impl Client {
-    /// Opens a client; it connects when it is used.
-    pub(crate) fn open() -> Self {
+    /// Creates a client that opens a new connection for each request.
+    pub(crate) fn new() -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(CONNECT_TIME));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
-        // A pooled connection may have gone silent while it was idle; a request written to it
-        // would be of unknown outcome. A fresh connection costs a command next to nothing.
-        let pooled = Pooled::builder(TokioExecutor::new())
+        // An idle connection in a pool may be dead without notice, and the outcome of a request
+        // written to it would be unknown. A new connection costs a command almost nothing.
+        let inner = HyperClient::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
             .retry_canceled_requests(false)
             .build(connector);
-        Self { pooled }
+        Self { inner }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
-    /// Where there is no whole answer in time.
-    pub(crate) async fn send(&self, to: SocketAddr, ask: &Ask) -> Result<Answer, SendError> {
-        let whole = async {
-            let (parts, body) = self.open_answer(to, ask).await?.into_parts();
-            let body = Limited::new(body, ANSWER_LIMIT).collect().await;
+    /// Returns an error if the response is not complete before the timeout.
+    pub(crate) async fn send(
+        &self,
+        to: SocketAddr,
+        request: &HttpRequest,
+    ) -> Result<HttpResponse, SendError> {
+        let exchange = async {
+            let (parts, body) = self.send_head(to, request).await?.into_parts();
+            let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
             let body = body.map_err(|e| SendError::Lost(e.to_string()))?.to_bytes();
-            Ok(Answer { status: parts.status, headers: parts.headers, body })
+            Ok(HttpResponse { status: parts.status, headers: parts.headers, body })
         };
-        timeout(ask.within, whole).await.unwrap_or_else(|_| Err(late(ask.within)))
+        timeout(request.timeout, exchange)
+            .await
+            .unwrap_or_else(|_| Err(timeout_error(request.timeout)))
     }
 
-    /// Sends a request and returns the answer once its headers are there.
+    /// Sends a request and returns the response as soon as its headers have arrived.
     ///
     /// # Errors
-    /// Where there are no headers in time.
-    pub(crate) async fn open_stream(
+    /// Returns an error if the headers do not arrive before the timeout.
+    pub(crate) async fn send_streaming(
         &self,
         to: SocketAddr,
-        ask: &Ask,
+        request: &HttpRequest,
     ) -> Result<http::Response<Incoming>, SendError> {
-        let opened = timeout(ask.within, self.open_answer(to, ask)).await;
-        opened.unwrap_or_else(|_| Err(late(ask.within)))
+        let response = timeout(request.timeout, self.send_head(to, request)).await;
+        response.unwrap_or_else(|_| Err(timeout_error(request.timeout)))
     }
 
-    async fn open_answer(
+    async fn send_head(
         &self,
         to: SocketAddr,
-        ask: &Ask,
+        request: &HttpRequest,
     ) -> Result<http::Response<Incoming>, SendError> {
-        let request = build(to, ask).map_err(SendError::NotSent)?;
-        self.pooled.request(request).await.map_err(sort)
+        let request = build(to, request).map_err(SendError::NotSent)?;
+        self.inner.request(request).await.map_err(classify)
     }
 }
 
-fn late(within: Duration) -> SendError {
-    SendError::Lost(format!("no answer within {} ms", within.as_millis()))
+fn timeout_error(timeout: Duration) -> SendError {
+    SendError::Lost(format!("no answer within {} ms", timeout.as_millis()))
 }
 
-fn build(to: SocketAddr, ask: &Ask) -> Result<Request<Full<Bytes>>, String> {
-    let mut request = Request::builder()
-        .method(ask.method.clone())
-        .uri(format!("http://{to}{}", ask.path))
+fn build(to: SocketAddr, request: &HttpRequest) -> Result<Request<Full<Bytes>>, String> {
+    let mut builder = Request::builder()
+        .method(request.method.clone())
+        .uri(format!("http://{to}{}", request.path))
         .header(CONTENT_TYPE, "application/json");
-    if let Some(bearer) = &ask.bearer {
+    if let Some(bearer) = &request.bearer {
         let value = HeaderValue::from_str(&format!("Bearer {bearer}"));
-        let mut value = value.map_err(|_| "the token holds characters no header may have")?;
+        let mut value =
+            value.map_err(|_| "the token contains characters that a header must not contain")?;
         value.set_sensitive(true);
-        request = request.header(AUTHORIZATION, value);
+        builder = builder.header(AUTHORIZATION, value);
     }
-    for (name, value) in &ask.headers {
-        request = request.header(name, value);
+    for (name, value) in &request.headers {
+        builder = builder.header(name, value);
     }
-    request.body(Full::new(ask.body.clone())).map_err(|e| e.to_string())
+    builder.body(Full::new(request.body.clone())).map_err(|e| e.to_string())
 }
 
-fn sort(error: ClientError) -> SendError {
+fn classify(error: ClientError) -> SendError {
     let mut text = error.to_string();
     let mut source = std::error::Error::source(&error);
     while let Some(cause) = source {
@@ -171,11 +178,11 @@
     if error.is_connect() { SendError::NotSent(text) } else { SendError::Lost(text) }
 }
 
-impl Answer {
-    /// Parses the body.
+impl HttpResponse {
+    /// Parses the JSON body.
     ///
     /// # Errors
-    /// Where it is not the expected JSON.
+    /// Returns an error if the body is not the expected JSON.
     pub(crate) fn parse<T: DeserializeOwned>(&self) -> eyre::Result<T> {
         serde_json::from_slice(&self.body).map_err(|e| {
             let start = String::from_utf8_lossy(&self.body[..self.body.len().min(200)]);
@@ -183,7 +190,7 @@
         })
     }
 
-    /// Returns how long the other side asks to wait, in milliseconds.
+    /// Returns the delay that the `Retry-After` header asks for.
     pub(crate) fn retry_after(&self) -> Option<Duration> {
         let header = self.headers.get(http::header::RETRY_AFTER)?;
         header.to_str().ok()?.trim().parse().ok().map(Duration::from_secs)
--- a/crates/mothplank/src/commands/apply.rs
+++ b/crates/mothplank/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `mothplank apply`: brings the service's files into force.
+//! `mothplank apply`: puts the service's files into force.
 
 use std::time::{Duration, Instant};
 
@@ -7,15 +7,15 @@
 use types::{ChangeId, Document};
 
 use crate::commands::check::load_checked;
-use crate::config::Apply;
-use crate::error::Ending;
+use crate::config::ApplyArgs;
+use crate::error::ExitError;
 use crate::exit_codes::ExitCode;
 use crate::messages::{ChangeAnswer, EntryStatus, ServiceAnswer, Status};
-use crate::operator::{Operator, Resend, refusal};
+use crate::operator::{OperatorClient, RetryPolicy, refusal_error};
 use crate::output::{Format, note};
 
-/// The pause between two looks at where a version is in force.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// The interval between two checks of where a version is in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The body of `POST /v1/changes`.
 #[derive(Debug, Serialize)]
@@ -25,14 +25,14 @@
     document: &'a Document,
 }
 
-/// What the command prints.
+/// The output of the command.
 #[derive(Debug, Serialize)]
 struct Applied {
     id: ChangeId,
     base: u64,
     #[serde(flatten)]
     answer: ChangeAnswer,
-    /// The entries that do not have the version yet; there only if it was waited for.
+    /// The entries where the version is not in force yet; `None` if the command did not wait.
     #[serde(skip_serializing_if = "Option::is_none")]
     missing: Option<Vec<String>>,
 }
@@ -40,22 +40,22 @@
 /// Runs the command.
 ///
 /// # Errors
-/// Where the files have faults, or no member decides in time.
-pub(crate) async fn run(format: Format, apply: Apply) -> Result<ExitCode> {
-    let document = load_checked(&apply.files)?;
-    let operator = Operator::open(apply.target);
-    let base = match apply.based_on {
+/// Returns an error if the files have faults, or if no member decides on the change in time.
+pub(crate) async fn run(format: Format, args: ApplyArgs) -> Result<ExitCode> {
+    let document = load_checked(&args.files)?;
+    let operator = OperatorClient::new(args.target);
+    let base = match args.based_on {
         Some(base) => base,
         None => operator.get::<ServiceAnswer>("/v1/service").await?.version,
     };
-    let id = apply.id;
+    let id = args.id;
     note(&format!("change {id} based on version {base}"));
     let answer = send(&operator, &document, base, id).await?;
     let mut applied = Applied { id, base, answer, missing: None };
-    let mut code = code_of(&applied.answer);
-    if let (ExitCode::Success, Some(wait)) = (code, apply.wait) {
+    let mut code = exit_code(&applied.answer);
+    if let (ExitCode::Success, Some(wait)) = (code, args.wait) {
         let version = applied.answer.version.unwrap_or_default();
-        let missing = wait_everywhere(&operator, version, wait).await;
+        let missing = wait_in_force(&operator, version, wait).await;
         if !missing.is_empty() {
             code = ExitCode::Pending;
         }
@@ -65,33 +65,33 @@
     Ok(code)
 }
 
-/// Sends a change, again where its answer is lost, and returns what became of it.
+/// Sends a change, resends it if the answer is lost, and returns the answer.
 ///
 /// # Errors
-/// Where no member decides in time.
+/// Returns an error if no member decides on the change in time.
 pub(crate) async fn send(
-    operator: &Operator,
+    operator: &OperatorClient,
     document: &Document,
     base: u64,
     id: ChangeId,
 ) -> Result<ChangeAnswer> {
     let change = Change { id, base, document };
-    let answer = operator.post("/v1/changes", &change, Resend::Allowed).await;
-    let answer = answer.map_err(|e| add_resend(e, id, base))?;
-    if !matches!(answer.status.as_u16(), 200 | 409 | 422) {
-        return Err(refusal(&answer).into());
+    let response = operator.post("/v1/changes", &change, RetryPolicy::Always).await;
+    let response = response.map_err(|e| with_resend_hint(e, id, base))?;
+    if !matches!(response.status.as_u16(), 200 | 409 | 422) {
+        return Err(refusal_error(&response).into());
     }
-    answer.parse()
+    response.parse()
 }
 
-/// Adds to an error how to send the same change again.
-fn add_resend(error: eyre::Report, id: ChangeId, base: u64) -> eyre::Report {
-    let Some(ending) = error.downcast_ref::<Ending>() else { return error };
+/// Adds the arguments for resending the change to the error message.
+fn with_resend_hint(error: eyre::Report, id: ChangeId, base: u64) -> eyre::Report {
+    let Some(exit_error) = error.downcast_ref::<ExitError>() else { return error };
     let resend = format!("resend with --change-id {id} --based-on {base}");
-    eyre!(Ending::new(ending.code, format!("{}; {resend}", ending.message)))
+    eyre!(ExitError::new(exit_error.code, format!("{}; {resend}", exit_error.message)))
 }
 
-fn code_of(answer: &ChangeAnswer) -> ExitCode {
+fn exit_code(answer: &ChangeAnswer) -> ExitCode {
     match answer.outcome.as_str() {
         "accepted" => ExitCode::Success,
         "conflict" | "reused" | "forgotten" => ExitCode::Conflict,
@@ -102,32 +102,33 @@
     }
 }
 
-/// Waits until every entry has the version; returns those that do not when the time is over.
-pub(crate) async fn wait_everywhere(
-    operator: &Operator,
+/// Waits until the version is in force at every entry, or until the timeout, and returns the
+/// entries where it is not.
+pub(crate) async fn wait_in_force(
+    operator: &OperatorClient,
     version: u64,
     wait: Duration,
 ) -> Vec<String> {
-    let end = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     loop {
         let missing = match operator.get::<Status>("/v1/status").await {
-            Ok(status) => missing_in(&status, version),
+            Ok(status) => outdated_entries(&status, version),
             Err(e) => vec![format!("no status: {e:#}")],
         };
-        if missing.is_empty() || Instant::now() >= end {
+        if missing.is_empty() || Instant::now() >= deadline {
             return missing;
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn missing_in(status: &Status, version: u64) -> Vec<String> {
-    // A status without entries says that the member knows of none, not that all are up to date.
+fn outdated_entries(status: &Status, version: u64) -> Vec<String> {
+    // A status without entries means that the member knows no entry, not that all are up to date.
     if status.entries.is_empty() {
         return vec!["no entry has a session with control".to_owned()];
     }
-    let behind = status.entries.iter().filter(|it| it.version < version);
-    behind.map(describe).collect()
+    let outdated = status.entries.iter().filter(|it| it.version < version);
+    outdated.map(describe).collect()
 }
 
 fn describe(entry: &EntryStatus) -> String {
@@ -139,21 +140,22 @@
 impl Applied {
     fn format(&self) -> String {
         let version = self.answer.version.unwrap_or_default();
-        let first = match self.answer.outcome.as_str() {
+        let summary = match self.answer.outcome.as_str() {
             "accepted" => format!("accepted as version {version}"),
             "conflict" => format!(
                 "conflict: version {version} is in force, made by {} as change {}",
                 self.answer.operator.as_deref().unwrap_or("somebody"),
                 self.answer.winner.as_deref().unwrap_or("unknown"),
             ),
-            "reused" => "conflict: this id was used before with another content".to_owned(),
+            "reused" => "conflict: this id was already used with a different content".to_owned(),
             "forgotten" => format!(
-                "conflict: version {version} is in force, and the base is older than the answers kept"
+                "conflict: version {version} is in force, and the base version is older \
+                 than the stored answers"
             ),
             other => format!("{other}: {}", self.answer.detail.as_deref().unwrap_or_default()),
         };
         let faults = self.answer.faults.iter().map(ToString::to_string);
-        let mut lines: Vec<String> = std::iter::once(first).chain(faults).collect();
+        let mut lines: Vec<String> = std::iter::once(summary).chain(faults).collect();
         match &self.missing {
             Some(missing) if missing.is_empty() => lines.push("in force everywhere".to_owned()),
             Some(missing) => {
--- a/crates/mothplank/src/commands/audit.rs
+++ b/crates/mothplank/src/commands/audit.rs
@@ -1,4 +1,4 @@
-//! `mothplank audit`: prints the audit trail and verifies its chain of hashes.
+//! `mothplank audit`: prints the audit trail and verifies its hash chain.
 
 use eyre::{Result, eyre};
 use jiff::Timestamp;
@@ -8,26 +8,26 @@
 use types::{OperatorName, UnixMillis, Version};
 
 use crate::config::Target;
-use crate::error::Ending;
+use crate::error::ExitError;
 use crate::exit_codes::ExitCode;
-use crate::operator::Operator;
+use crate::operator::OperatorClient;
 use crate::output::Format;
 
-/// Every kind of record.
+/// All kinds of records.
 const KINDS: [AuditKind; 5] =
     [AuditKind::Change, AuditKind::Mark, AuditKind::Member, AuditKind::Order, AuditKind::Limits];
 
-/// Every outcome of a record.
+/// All outcomes of records.
 const OUTCOMES: [AuditOutcome; 4] =
     [AuditOutcome::Accepted, AuditOutcome::Conflict, AuditOutcome::Reused, AuditOutcome::Forgotten];
 
-/// A page of the trail.
+/// A page of the audit trail.
 #[derive(Debug, Default, Deserialize)]
 struct Page {
     records: Vec<Row>,
 }
 
-/// A record as control sends it.
+/// A record in the JSON form that control members send.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct Row {
     number: u64,
@@ -45,9 +45,9 @@
 /// Runs the command.
 ///
 /// # Errors
-/// Where no member answers, or the trail does not verify.
+/// Returns an error if no member answers or the trail does not verify.
 pub(crate) async fn run(format: Format, target: Target, after: u64) -> Result<ExitCode> {
-    let operator = Operator::open(target);
+    let operator = OperatorClient::new(target);
     let mut last: Option<AuditRecord> = None;
     let mut next = after;
     loop {
@@ -68,10 +68,11 @@
     Ok(ExitCode::Success)
 }
 
-/// Verifies a record after the one before it, and returns it.
+/// Verifies that a record follows the previous one, and returns it.
 fn verify(last: Option<AuditRecord>, record: AuditRecord) -> Result<AuditRecord> {
     let pair: Vec<AuditRecord> = last.into_iter().chain([record.clone()]).collect();
-    state::verify(&pair).map_err(|e| eyre!(Ending::new(ExitCode::BrokenTrail, e.to_string())))?;
+    state::verify(&pair)
+        .map_err(|e| eyre!(ExitError::new(ExitCode::AuditInvalid, e.to_string())))?;
     Ok(record)
 }
 
@@ -83,11 +84,12 @@
             number: self.number,
             at: self.at,
             operator: self.operator.clone(),
-            kind: kind.ok_or_else(|| eyre!("unknown kind of record {:?}", self.kind))?,
+            kind: kind.ok_or_else(|| eyre!("unknown kind of audit record {:?}", self.kind))?,
             base: self.base,
             version: self.version,
             what: self.what.clone(),
-            outcome: outcome.ok_or_else(|| eyre!("unknown outcome {:?}", self.outcome))?,
+            outcome: outcome
+                .ok_or_else(|| eyre!("unknown outcome of audit record {:?}", self.outcome))?,
             prior: parse_hash(&self.prior)?,
             hash: parse_hash(&self.hash)?,
         })
@@ -98,7 +100,7 @@
     let mut hash = AuditHash::default();
     let digits = text.as_bytes();
     if digits.len() != 2 * hash.0.len() || !text.is_ascii() {
-        return Err(eyre!("{text:?} is no hash"));
+        return Err(eyre!("{text:?} is not a SHA-256 hash in hexadecimal"));
     }
     for (byte, pair) in hash.0.iter_mut().zip(digits.chunks(2)) {
         *byte = u8::from_str_radix(std::str::from_utf8(pair)?, 16)?;
@@ -122,7 +124,7 @@
     })
 }
 
-/// Formats a wall clock time in UTC.
+/// Formats a time in UTC.
 fn utc(at: UnixMillis) -> String {
     let time = i64::try_from(at.0).ok().and_then(|it| Timestamp::from_millisecond(it).ok());
     time.map_or_else(|| at.to_string(), |it| it.to_string())
--- a/crates/mothplank/src/commands/call/stream.rs
+++ b/crates/mothplank/src/commands/call/stream.rs
@@ -1,5 +1,5 @@
-//! A streamed answer: tokens as they come, then one end or one error. A stream without either is
-//! not whole.
+//! Reads a streamed answer: tokens, then one `end` or `error` event. A stream without either is
+//! incomplete.
 
 use std::net::SocketAddr;
 
@@ -8,43 +8,51 @@
 use hyper::body::Incoming;
 use serde_json::{Value, json};
 
-use super::{Next, PAUSE, ask, judge};
-use crate::client::{Answer, Client, SendError};
-use crate::config::Call;
+use super::{AttemptResult, RETRY_PAUSE, build_request, classify};
+use crate::client::{Client, HttpResponse, SendError};
+use crate::config::CallArgs;
 use crate::exit_codes::ExitCode;
 use crate::output::{Format, note, write_line};
 
-/// The longest event, in bytes.
-const EVENT_LIMIT: usize = 16 << 20;
+/// The maximum size of an event, in bytes.
+const MAX_EVENT_BYTES: usize = 16 << 20;
 
-/// One event of a stream.
+/// An event of the stream.
 #[derive(Debug, PartialEq, Eq)]
 struct Event {
     kind: String,
     data: String,
 }
 
-/// Sends a request once and prints its tokens as they come.
+/// Sends a request once and prints the tokens as they arrive.
 ///
 /// # Errors
-/// Where a token cannot be printed.
+/// Returns an error if a token cannot be printed.
 pub(super) async fn try_once(
     client: &Client,
     entry: SocketAddr,
-    call: &Call,
+    call: &CallArgs,
     format: Format,
-) -> Result<Next> {
-    let response = match client.open_stream(entry, &ask(call)).await {
+) -> Result<AttemptResult> {
+    let response = match client.send_streaming(entry, &build_request(call)).await {
         Ok(response) => response,
-        Err(SendError::NotSent(why)) => return Ok(Next::Again(PAUSE, ExitCode::NotRun, why)),
-        Err(SendError::Lost(why)) => return Ok(Next::Again(PAUSE, ExitCode::Unknown, why)),
+        Err(SendError::NotSent(why)) => {
+            return Ok(AttemptResult::Retry(RETRY_PAUSE, ExitCode::NotRun, why));
+        }
+        Err(SendError::Lost(why)) => {
+            return Ok(AttemptResult::Retry(RETRY_PAUSE, ExitCode::Unknown, why));
+        }
     };
     let (parts, mut body) = response.into_parts();
     let kind = parts.headers.get(http::header::CONTENT_TYPE).and_then(|it| it.to_str().ok());
     let streamed = kind.is_some_and(|it| it.starts_with("text/event-stream"));
     if !streamed {
         let bytes = body.collect().await.map(|it| it.to_bytes()).unwrap_or_default();
-        return Ok(judge(&Answer { status: parts.status, headers: parts.headers, body: bytes }));
+        return Ok(classify(&HttpResponse {
+            status: parts.status,
+            headers: parts.headers,
+            body: bytes,
+        }));
     }
     let mut buffer = Vec::new();
     while let Some(event) = next_event(&mut body, &mut buffer).await {
@@ -52,12 +60,16 @@
             "token" => print_token(format, &event.data)?,
             "end" | "error" => {
                 let (status, headers) = (parts.status, parts.headers.clone());
-                return Ok(judge(&Answer { status, headers, body: event.data.into() }));
+                return Ok(classify(&HttpResponse { status, headers, body: event.data.into() }));
             }
             _ => {}
         }
     }
-    Ok(Next::Again(PAUSE, ExitCode::Unknown, "the stream broke off without its end".to_owned()))
+    Ok(AttemptResult::Retry(
+        RETRY_PAUSE,
+        ExitCode::Unknown,
+        "the stream ended without an end event".to_owned(),
+    ))
 }
 
 fn print_token(format: Format, data: &str) -> Result<()> {
@@ -71,13 +83,14 @@
     }
 }
 
-/// Reads on until the buffer holds a whole event; `None` once the stream is over or broken.
+/// Reads until the buffer contains a complete event. Returns `None` if the stream ends or fails, or
+/// if the event is too large.
 async fn next_event(body: &mut Incoming, buffer: &mut Vec<u8>) -> Option<Event> {
     loop {
         if let Some(event) = take_event(buffer) {
             return Some(event);
         }
-        if buffer.len() > EVENT_LIMIT {
+        if buffer.len() > MAX_EVENT_BYTES {
             return None;
         }
         let frame = body.frame().await?.ok()?;
--- a/crates/mothplank/src/commands/check.rs
+++ b/crates/mothplank/src/commands/check.rs
@@ -1,41 +1,41 @@
-//! `mothplank check`: names every fault of the files, offline.
+//! `mothplank check`: reports all faults of settings files, offline.
 
 use eyre::Result;
 use serde::Serialize;
 use settings::{DocumentFiles, Fault, check_nodes, read_document};
 
-use crate::config::{Check, Files};
+use crate::config::{CheckArgs, DocumentPaths};
 use crate::exit_codes::ExitCode;
 use crate::output::Format;
 
-/// What was found.
+/// The output of the command.
 #[derive(Debug, Default, Serialize)]
 struct Findings {
-    /// What must be mended.
+    /// The faults, which must be fixed.
     faults: Vec<Fault>,
-    /// What is allowed but unusual.
+    /// The warnings about what is allowed but unusual.
     warnings: Vec<Fault>,
 }
 
 /// Runs the command.
 ///
 /// # Errors
-/// Where the findings cannot be printed.
-pub(crate) fn run(format: Format, check: &Check) -> Result<ExitCode> {
+/// Returns an error if the findings cannot be printed.
+pub(crate) fn run(format: Format, args: &CheckArgs) -> Result<ExitCode> {
     let mut findings = Findings::default();
-    if let Some(files) = &check.files {
-        let (_, found) = load(files);
+    if let Some(files) = &args.files {
+        let (_, found) = load_document(files);
         findings = found;
     }
-    if let Err(e) = check_nodes(&check.nodes) {
+    if let Err(e) = check_nodes(&args.nodes) {
         findings.faults.extend(e.0);
     }
     format.print(&findings, || findings.format())?;
     Ok(if findings.faults.is_empty() { ExitCode::Success } else { ExitCode::Faults })
 }
 
-/// Reads a document and checks it; the document is there where it has no fault.
-fn load(files: &Files) -> (Option<types::Document>, Findings) {
+/// Reads and checks a document; returns the document only if it has no fault.
+fn load_document(files: &DocumentPaths) -> (Option<types::Document>, Findings) {
     let faults = |it: settings::Faults| Findings { faults: it.0, warnings: Vec::new() };
     let found = match DocumentFiles::find(&files.base, &files.overlays) {
         Ok(found) => found,
@@ -52,12 +52,12 @@
     }
 }
 
-/// Reads a document that has no fault.
+/// Reads a document and checks that it has no fault.
 ///
 /// # Errors
-/// Every fault at once.
-pub(crate) fn load_checked(files: &Files) -> Result<types::Document, settings::Faults> {
-    let (document, findings) = load(files);
+/// Returns all faults.
+pub(crate) fn load_checked(files: &DocumentPaths) -> Result<types::Document, settings::Faults> {
+    let (document, findings) = load_document(files);
     document.ok_or(settings::Faults(findings.faults))
 }
 
--- a/crates/mothplank/src/commands/control.rs
+++ b/crates/mothplank/src/commands/control.rs
@@ -6,20 +6,20 @@
 use settings::NodeSettings;
 
 use crate::commands::{RELEASE, signals};
-use crate::error::Ending;
+use crate::error::ExitError;
 use crate::exit_codes::ExitCode;
 
-/// Threads for sockets; the replicated state has a thread of its own.
+/// The number of threads for network I/O; the replicated state has its own thread.
 const THREADS: usize = 2;
 
-/// Runs the program until a signal ends it, or until it stops by itself because its disk failed.
+/// Runs the member until a signal ends it, or until it stops because its disk failed.
 ///
 /// # Errors
-/// Where it cannot start, or had to stop.
+/// Returns an error if the member cannot start or has stopped by itself.
 pub(crate) fn run(settings: &Path) -> Result<ExitCode> {
     let node = NodeSettings::read(settings)?;
     telemetry::open_log(&node.log);
-    // Before anything that may wait: a start that hangs is told from one that never began.
+    // Logged before anything that can block, to tell a start that hangs from one that never began.
     log::info!(vm:% = node.vm, release = RELEASE; "control starts");
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(THREADS)
@@ -32,7 +32,11 @@
         tokio::select! {
             () = signals.first() => control.drain().await,
             why = control.stopped() => {
-                return Err(Ending::new(ExitCode::General, format!("the member stopped: {why}")).into());
+                return Err(ExitError::new(
+                    ExitCode::General,
+                    format!("the control member stopped: {why}"),
+                )
+                .into());
             }
         }
         Ok(ExitCode::Success)
--- a/crates/mothplank/src/commands/demo.rs
+++ b/crates/mothplank/src/commands/demo.rs
@@ -1,5 +1,5 @@
-//! `mothplank demo`: one control member, two entries and small stand-ins in one process on
-//! loopback; then one appraisal goes through its four stages.
+//! `mothplank demo`: starts one control member, two entries and stand-ins for the upstreams in one
+//! process on loopback, and sends one appraisal through its four stages.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -12,55 +12,55 @@
 use settings::NodeSettings;
 use types::{Document, Micros, VmName};
 
-use crate::client::{Ask, Client};
+use crate::client::{Client, HttpRequest};
 use crate::commands::{apply, call};
-use crate::config::{Call, Target};
+use crate::config::{CallArgs, Target};
 use crate::exit_codes::ExitCode;
-use crate::operator::{Operator, Resend};
+use crate::operator::{OperatorClient, RetryPolicy};
 use crate::output::{Format, note};
 
-mod fakes;
+mod stand_ins;
 
-use fakes::Fakes;
+use stand_ins::StandIns;
 
 const BASE: &str = include_str!("../../demo/base.jsonc");
 const OVERLAY: &str = include_str!("../../demo/sites/yard-2.jsonc");
 const NODES: [&str; 2] =
     [include_str!("../../demo/vm-1.jsonc"), include_str!("../../demo/vm-2.jsonc")];
 
-/// The operator's token and the customer's key, whose hashes the files hold.
+/// The operator's token and the customer's key; the settings files contain their hashes.
 const TOKEN: &str = "demo-token";
 const KEY: &str = "demo-key";
 
-/// How long each step may take.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout of each step.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Any free port on loopback.
-const FREE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// A loopback address with port 0, which binds to any free port.
+const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Runs the command.
 ///
 /// # Errors
-/// Where a part cannot start, or the appraisal is not answered.
+/// Returns an error if a part cannot start or the appraisal is not answered.
 pub(crate) async fn run(format: Format) -> Result<ExitCode> {
     telemetry::open_log("error");
     let folder = tempfile::tempdir().wrap_err("cannot create a temporary folder")?;
-    let fakes = Fakes::spawn().await?;
-    note(&format!("{} stand-ins of upstreams, and the platform's list of VMs", fakes.count()));
-    let (control, nodes) = start_control(folder.path(), fakes.platform()).await?;
+    let stand_ins = StandIns::spawn().await?;
+    note(&format!("{} stand-ins for upstreams, and the platform's list of VMs", stand_ins.count()));
+    let (control, nodes) = start_control(folder.path(), stand_ins.platform()).await?;
     note(&format!("control member vm-1 at {}", control.http_address()));
-    let operator = Operator::open(Target {
+    let operator = OperatorClient::new(Target {
         control: vec![control.http_address()],
         token: TOKEN.to_owned(),
-        within: PATIENCE,
+        timeout: STEP_TIMEOUT,
     });
-    let started = operator.post("/v1/init", &json!({}), Resend::Refused).await?;
+    let started = operator.post("/v1/init", &json!({}), RetryPolicy::IfNotSent).await?;
     if !started.status.is_success() {
         return Err(eyre!("init: status {}", started.status));
     }
     let entries = start_entries(nodes).await?;
     let document = Document {
-        base: fakes.place(BASE),
+        base: stand_ins.fill_addresses(BASE),
         overlays: [("yard-2".parse()?, OVERLAY.to_owned())].into(),
     };
     let applied = apply::send(&operator, &document, 0, types::ChangeId::random()).await?;
@@ -78,36 +78,37 @@
 }
 
 async fn appraise(format: Format, entries: Vec<SocketAddr>) -> Result<ExitCode> {
-    let call = Call {
+    let call = CallArgs {
         pipeline: "appraise".parse()?,
         entries,
         key: KEY.to_owned(),
         input: json!({"lot": "SM-0417", "bricks": 3200, "kind": "handmade, lime mortar"}),
         deadline: Some(Duration::from_secs(7)),
-        idempotency: None,
+        idempotency_key: None,
         max_tokens: None,
         stream: false,
-        resend: PATIENCE,
+        retry_for: STEP_TIMEOUT,
     };
     let (answer, code) = call::send(&call, format).await?;
     format.print(&answer, || call::describe(&answer))?;
     Ok(code)
 }
 
-/// Starts control on free ports and returns the settings of both VMs with these ports in them.
+/// Starts the control member on free ports and returns it with the settings of both VMs, which
+/// contain these ports.
 async fn start_control(data: &Path, platform: SocketAddr) -> Result<(Control, Vec<NodeSettings>)> {
     let mut nodes = Vec::new();
     for (i, text) in NODES.iter().enumerate() {
         let mut node = NodeSettings::parse(&format!("vm-{}.jsonc", i + 1), text)?;
-        node.members[0].wire = FREE;
-        node.members[0].http = FREE;
-        if let Some(part) = &mut node.control {
-            part.data = data.to_owned();
-            part.platform = Some(platform);
+        node.members[0].wire = ANY_PORT;
+        node.members[0].http = ANY_PORT;
+        if let Some(section) = &mut node.control {
+            section.data = data.to_owned();
+            section.platform = Some(platform);
         }
-        if let Some(part) = &mut node.entry {
-            part.listen = FREE;
-            part.notice = types::Millis(0);
+        if let Some(section) = &mut node.entry {
+            section.listen = ANY_PORT;
+            section.notice = types::Millis(0);
         }
         nodes.push(node);
     }
@@ -130,22 +131,22 @@
     Ok(entries)
 }
 
-/// Waits until an entry has a service in force.
+/// Waits until a service is in force at an entry.
 async fn wait_ready(entry: SocketAddr) -> Result<()> {
     const PAUSE: Duration = Duration::from_millis(20);
-    let client = Client::open();
-    let ask = Ask::get("/readyz", PATIENCE);
-    let end = Instant::now() + PATIENCE;
-    while Instant::now() < end {
-        if client.send(entry, &ask).await.is_ok_and(|it| it.status.is_success()) {
+    let client = Client::new();
+    let request = HttpRequest::get("/readyz", STEP_TIMEOUT);
+    let deadline = Instant::now() + STEP_TIMEOUT;
+    while Instant::now() < deadline {
+        if client.send(entry, &request).await.is_ok_and(|it| it.status.is_success()) {
             return Ok(());
         }
         tokio::time::sleep(PAUSE).await;
     }
-    Err(eyre!("the entry at {entry} is not ready"))
+    Err(eyre!("the entry at {entry} did not become ready in time"))
 }
 
-/// The time of a stage, so that the demo's figures are not all zero.
+/// Returns the duration of a stage's calls, so that the figures of the demo are not all zero.
 fn stage_time(pool: &str) -> Micros {
     match pool {
         "encoder" => Micros(3_000),
--- a/crates/mothplank/src/commands/demo/fakes.rs
+++ b/crates/mothplank/src/commands/demo/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of the demo.
+//! The stand-ins for upstreams and for the platform in the demo.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 use super::stage_time;
 
-/// The stand-ins of stage pools, by the addresses that stand for them in the demo's base file.
+/// The stand-ins for stages: the kind, and the placeholder address in the demo's base file.
 const STAGES: [(&str, &str); 6] = [
     ("encoder", "127.0.0.1:7311"),
     ("encoder", "127.0.0.1:7312"),
@@ -21,58 +21,58 @@
 const ENGINES: [&str; 2] = ["127.0.0.1:7341", "127.0.0.1:7342"];
 const SERVICE: &str = "127.0.0.1:7351";
 
-/// The running stand-ins; they end when this is dropped.
-pub(super) struct Fakes {
+/// The running stand-ins; dropping this stops them.
+pub(super) struct StandIns {
     stages: Vec<Stage>,
     engines: Vec<engine::Engine>,
     service: service::Service,
     platform: Platform,
-    /// Pairs of an address in the file and the one that stands for it in this run.
-    places: Vec<(&'static str, SocketAddr)>,
+    /// Pairs of a placeholder address in the file and the actual address in this run.
+    addresses: Vec<(&'static str, SocketAddr)>,
 }
 
-impl Fakes {
-    /// Starts them on free ports.
+impl StandIns {
+    /// Starts the stand-ins on free ports.
     pub(super) async fn spawn() -> StepResult<Self> {
-        let mut places = Vec::new();
+        let mut addresses = Vec::new();
         let mut stages = Vec::new();
-        for (pool, place) in STAGES {
+        for (pool, placeholder) in STAGES {
             let time = ServiceTime::Fixed(stage_time(pool));
             let stage = stage::spawn(stage::Config { time, ..Default::default() }).await?;
-            places.push((place, stage.address()));
+            addresses.push((placeholder, stage.address()));
             stages.push(stage);
         }
         let mut engines = Vec::new();
-        for place in ENGINES {
+        for placeholder in ENGINES {
             let model = "appraiser".parse().ok();
             let config = engine::Config { model, ..engine::Config::default() };
             let engine = engine::spawn(config).await?;
-            places.push((place, engine.address()));
+            addresses.push((placeholder, engine.address()));
             engines.push(engine);
         }
         let time = ServiceTime::Fixed(Micros(2_000));
         let service = service::spawn(service::Config { time, ..Default::default() }).await?;
-        places.push((SERVICE, service.address()));
+        addresses.push((SERVICE, service.address()));
         let platform = platform::spawn(platform::Config::default()).await?;
-        Ok(Self { stages, engines, service, platform, places })
+        Ok(Self { stages, engines, service, platform, addresses })
     }
 
-    /// Puts this run's addresses into the demo's base file.
-    pub(super) fn place(&self, base: &str) -> String {
-        let put = |text: String, (place, address): &(&str, SocketAddr)| {
-            text.replace(&format!("\"{place}\""), &format!("\"{address}\""))
+    /// Replaces the placeholder addresses in the demo's base file with the actual ones.
+    pub(super) fn fill_addresses(&self, base: &str) -> String {
+        let fill = |text: String, (placeholder, address): &(&str, SocketAddr)| {
+            text.replace(&format!("\"{placeholder}\""), &format!("\"{address}\""))
         };
-        self.places.iter().fold(base.to_owned(), put)
+        self.addresses.iter().fold(base.to_owned(), fill)
     }
 
-    /// Returns the address of the platform's list.
+    /// Returns the address of the platform's list of VMs.
     pub(super) fn platform(&self) -> SocketAddr {
         self.platform.address()
     }
 
-    /// Counts the upstreams.
+    /// Returns the number of upstreams.
     pub(super) fn count(&self) -> usize {
-        // The service is one; it has no other use here than to run.
+        // Marks the field as used: the service is only kept running. It is the 1 in the sum.
         let _ = &self.service;
         self.stages.len() + self.engines.len() + 1
     }
--- a/crates/mothplank/src/commands/entry.rs
+++ b/crates/mothplank/src/commands/entry.rs
@@ -8,13 +8,14 @@
 use crate::commands::{RELEASE, signals};
 use crate::exit_codes::ExitCode;
 
-/// Threads that drive the stages where the settings have no entry part; it then cannot start.
+/// The number of threads if the settings have no `entry` section, in which case the entry reports
+/// an error at startup.
 const FALLBACK_THREADS: usize = 1;
 
-/// Runs the program until a signal ends it; requests under way end whole.
+/// Runs the entry until a signal ends it; requests in flight are completed first.
 ///
 /// # Errors
-/// Where it cannot start.
+/// Returns an error if the entry cannot start.
 pub(crate) fn run(settings: &Path) -> Result<ExitCode> {
     let node = NodeSettings::read(settings)?;
     telemetry::open_log(&node.log);
--- a/crates/mothplank/src/commands/gateway.rs
+++ b/crates/mothplank/src/commands/gateway.rs
@@ -11,10 +11,10 @@
 use crate::commands::host;
 use crate::exit_codes::ExitCode;
 
-/// Runs the program until a signal ends it; requests under way end whole.
+/// Runs the gateway until a signal ends it; requests in flight are completed first.
 ///
 /// # Errors
-/// Where it cannot start.
+/// Returns an error if the gateway cannot start.
 pub(crate) fn run() -> Result<ExitCode> {
     let path = Settings::path()?;
     let settings = Settings::read(&path)?;
@@ -22,8 +22,10 @@
     let config = GatewayConfig {
         vm: settings.vm.clone(),
         domain: settings.domain,
-        front: settings.front.ok_or_eyre("the settings name no address for callers")?,
-        ready: settings.ready.ok_or_eyre("the settings name no address for the balancer")?,
+        front: settings.front.ok_or_eyre("the settings lack the address for callers")?,
+        ready: settings
+            .ready
+            .ok_or_eyre("the settings lack the address for the load balancer's readiness check")?,
         address: settings.address,
         seeds: settings.seeds,
         link: LinkRate::from_megabits(settings.link_megabits),
--- a/crates/mothplank/src/commands/host.rs
+++ b/crates/mothplank/src/commands/host.rs
@@ -1,4 +1,5 @@
-//! What the platform's programs share: one thread, logs, signals, changed settings, metrics.
+//! Runs the programs of a platform (gateway and registry): runtime, logs, signals, reload of
+//! settings, metrics.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -23,20 +24,20 @@
 use crate::commands::RELEASE;
 use crate::exit_codes::ExitCode;
 
-/// How often the settings file is looked at: it may change without a signal.
-const SETTINGS_PERIOD: Duration = Duration::from_secs(1);
+/// The interval of checks whether the settings file has changed; it may change without a signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a program on one thread until SIGTERM: `open` starts it, `changed` takes new settings, and
-/// `end` ends it.
+/// Runs a program on one thread until SIGTERM. `start` starts it, `reload` gives it changed
+/// settings, and `stop` stops it.
 ///
 /// # Errors
-/// Where it cannot start.
+/// Returns an error if the program cannot start.
 pub(crate) fn run<T, O, E>(
     vm: &VmName,
     path: PathBuf,
-    open: impl Future<Output = Result<Arc<T>>>,
-    changed: impl Fn(&T, Settings) + 'static,
-    end: E,
+    start: impl Future<Output = Result<Arc<T>>>,
+    reload: impl Fn(&T, Settings) + 'static,
+    stop: E,
 ) -> Result<ExitCode>
 where
     T: 'static,
@@ -52,9 +53,9 @@
         log::info!(vm:% = vm, release = RELEASE; "starting");
         let mut term = signal(SignalKind::terminate())?;
         let mut hangup = signal(SignalKind::hangup())?;
-        let program = open.await?;
+        let program = start.await?;
         log::info!(vm:% = vm; "started");
-        let mut ticks = interval(SETTINGS_PERIOD);
+        let mut ticks = interval(SETTINGS_POLL_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut seen = modified(&path);
         loop {
@@ -71,15 +72,15 @@
             }
             match Settings::read(&path) {
                 Ok(settings) => {
-                    log::info!(seeds = settings.seeds.len(); "took the settings again");
-                    changed(&program, settings);
+                    log::info!(seeds = settings.seeds.len(); "reloaded the settings");
+                    reload(&program, settings);
                 }
                 Err(error) => log::warn!(cause:% = error;
-                    "the changed settings can't be read; the old ones stay"),
+                    "cannot read the changed settings; the previous settings stay in effect"),
             }
         }
         log::info!(vm:% = vm; "stopping");
-        end(program).await;
+        stop(program).await;
         log::info!(vm:% = vm; "stopped");
         Ok(ExitCode::Success)
     })
@@ -89,20 +90,22 @@
     std::fs::metadata(path).and_then(|it| it.modified()).ok()
 }
 
-/// Serves metrics at every path. A program without them still does its work, so a failure to bind
-/// is logged only.
+/// Serves metrics at every path. The program can work without metrics, so a failure to serve them
+/// is only logged.
 pub(crate) async fn serve_metrics(address: SocketAddr, registry: prometheus::Registry) {
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
         Err(error) => {
-            log::warn!(address:% = address, cause:% = error; "no metrics are served");
+            log::warn!(address:% = address, cause:% = error;
+                "cannot listen on the metrics address; metrics are not served");
             return;
         }
     };
     let bytes = match ByteCounters::open(&registry) {
         Ok(bytes) => bytes,
         Err(error) => {
-            log::warn!(cause:% = error; "no metrics are served");
+            log::warn!(cause:% = error;
+                "cannot register the byte counters; metrics are not served");
             return;
         }
     };
@@ -117,7 +120,7 @@
             });
             let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
-                log::debug!(cause:% = error; "a metrics connection broke off");
+                log::debug!(cause:% = error; "metrics connection failed");
             }
         }
     });
--- a/crates/mothplank/src/commands/init.rs
+++ b/crates/mothplank/src/commands/init.rs
@@ -1,4 +1,4 @@
-//! `mothplank init`: starts a new cluster, once.
+//! `mothplank init`: creates a new cluster.
 
 use eyre::Result;
 use http::StatusCode;
@@ -6,24 +6,27 @@
 
 use crate::config::Target;
 use crate::exit_codes::ExitCode;
-use crate::messages::Started;
-use crate::operator::{Operator, Resend, refusal};
+use crate::messages::InitAnswer;
+use crate::operator::{OperatorClient, RetryPolicy, refusal_error};
 use crate::output::{Format, note};
 
 /// Runs the command.
 ///
 /// # Errors
-/// Where no member answers, or a cluster exists.
+/// Returns an error if no member answers or a cluster already exists.
 pub(crate) async fn run(format: Format, target: Target) -> Result<ExitCode> {
-    let operator = Operator::open(target);
-    let answer = operator.post("/v1/init", &json!({}), Resend::Refused).await?;
-    if answer.status != StatusCode::OK {
-        return Err(refusal(&answer).into());
+    let operator = OperatorClient::new(target);
+    let response = operator.post("/v1/init", &json!({}), RetryPolicy::IfNotSent).await?;
+    if response.status != StatusCode::OK {
+        return Err(refusal_error(&response).into());
     }
-    let started: Started = answer.parse()?;
+    let started: InitAnswer = response.parse()?;
     if !started.unheard.is_empty() {
-        note(&format!("not heard: {}; start them now", started.unheard.join(", ")));
+        note(&format!(
+            "no response from the members {}; start them now",
+            started.unheard.join(", ")
+        ));
     }
-    format.print(&started, || "the cluster is started".to_owned())?;
+    format.print(&started, || "the cluster is created".to_owned())?;
     Ok(ExitCode::Success)
 }
--- a/crates/mothplank/src/commands/load.rs
+++ b/crates/mothplank/src/commands/load.rs
@@ -1,22 +1,22 @@
-//! `mothplank load`: runs a scenario of many requests.
+//! `mothplank load`: runs a load test from a scenario file.
 
 use eyre::{Result, WrapErr};
 use serde_json::{Value, json};
 use standins::load::{self, ClassReport, Report, Scenario};
 
-use crate::config::Load;
+use crate::config::LoadArgs;
 use crate::exit_codes::ExitCode;
 use crate::output::{Format, note};
 
 /// Runs the command.
 ///
 /// # Errors
-/// Where the scenario cannot be read or a result cannot be written.
-pub(crate) async fn run(format: Format, ask: Load) -> Result<ExitCode> {
-    let scenario = Scenario::read(&ask.scenario)?;
-    note(&format!("scenario {}: {} ms of arrivals", scenario.name, scenario.length.0));
+/// Returns an error if the scenario cannot be read or a result cannot be written.
+pub(crate) async fn run(format: Format, args: LoadArgs) -> Result<ExitCode> {
+    let scenario = Scenario::read(&args.scenario)?;
+    note(&format!("scenario {}: requests arrive for {} ms", scenario.name, scenario.length.0));
     let report = load::run(&scenario).await?;
-    if let Some(folder) = &ask.folder {
+    if let Some(folder) = &args.folder {
         std::fs::create_dir_all(folder)
             .wrap_err_with(|| format!("cannot create {}", folder.display()))?;
         report.write(folder)?;
--- a/crates/mothplank/src/commands/logs.rs
+++ b/crates/mothplank/src/commands/logs.rs
@@ -1,5 +1,5 @@
-//! `mothplank logs`: what entries of a platform wrote about their requests, as tables, a drawing, or one
-//! request's story.
+//! `mothplank logs`: summarizes the logs of a platform's entries as tables and a chart, or prints
+//! the lines of one request.
 
 mod draw;
 mod line;
@@ -11,7 +11,7 @@
 
 use eyre::{Result, WrapErr};
 
-use crate::config::Logs;
+use crate::config::LogsArgs;
 use crate::exit_codes::ExitCode;
 use crate::output::{Format, note, write_line};
 
@@ -21,54 +21,55 @@
 /// Runs the command.
 ///
 /// # Errors
-/// Where a file cannot be read or written.
-pub(crate) fn run(format: Format, ask: &Logs) -> Result<ExitCode> {
+/// Returns an error if a file cannot be read or written.
+pub(crate) fn run(format: Format, args: &LogsArgs) -> Result<ExitCode> {
     let mut lines = Vec::new();
-    for path in &ask.files {
-        read(path, ask, &mut lines)?;
+    for path in &args.files {
+        read(path, args, &mut lines)?;
     }
     lines.sort_by_key(|it| it.time);
-    if let Some(id) = &ask.id {
-        return story(id, &lines);
+    if let Some(id) = &args.id {
+        return print_request(id, &lines);
     }
-    let summary = Summary::of(&lines);
-    if let Some(path) = &ask.svg {
+    let summary = Summary::from_lines(&lines);
+    if let Some(path) = &args.svg {
         draw::draw(&summary, path)?;
     }
-    format.print(&summary, || summary.text())?;
+    format.print(&summary, || summary.format())?;
     Ok(ExitCode::Success)
 }
 
-/// Reads the lines of a file that lie in the span; what stands before the JSON of a line is passed over.
-fn read(path: &Path, ask: &Logs, lines: &mut Vec<Line>) -> Result<()> {
+/// Reads the lines of a file that are in the time range. Text before the JSON of a line becomes its
+/// prefix.
+fn read(path: &Path, args: &LogsArgs, lines: &mut Vec<Line>) -> Result<()> {
     let fault = || format!("cannot read {}", path.display());
-    let mut unreadable = 0;
+    let mut skipped = 0;
     for text in BufReader::new(File::open(path).wrap_err_with(fault)?).lines() {
         let text = text.wrap_err_with(fault)?;
         let Some(line) = text.find('{').and_then(|it| Line::read(&text[it..], &text[..it])) else {
-            unreadable += 1;
+            skipped += 1;
             continue;
         };
-        if ask.from.is_none_or(|it| line.time >= it) && ask.to.is_none_or(|it| line.time < it) {
+        if args.from.is_none_or(|it| line.time >= it) && args.to.is_none_or(|it| line.time < it) {
             lines.push(line);
         }
     }
-    if unreadable > 0 {
-        note(&format!("{}: {unreadable} lines are no log lines of this product", path.display()));
+    if skipped > 0 {
+        note(&format!("{}: {skipped} lines are no log lines of this product", path.display()));
     }
     Ok(())
 }
 
-/// Prints all lines of one request in their order.
-fn story(id: &str, lines: &[Line]) -> Result<ExitCode> {
+/// Prints all lines of one request in the order of time.
+fn print_request(id: &str, lines: &[Line]) -> Result<ExitCode> {
     let mut found = false;
     for line in lines.iter().filter(|it| it.request.as_deref() == Some(id)) {
         found = true;
-        write_line(&line.told())?;
+        write_line(&line.describe())?;
     }
     if !found {
         note(&format!(
-            "no line of request {id}; a request reaches one entry only: give the logs of all"
+            "found no line of request {id}; a request reaches only one entry: give the logs of all"
         ));
     }
     Ok(if found { ExitCode::Success } else { ExitCode::General })
--- a/crates/mothplank/src/commands/logs/line.rs
+++ b/crates/mothplank/src/commands/logs/line.rs
@@ -1,4 +1,4 @@
-//! One line of a log.
+//! A line of a log.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,68 +7,68 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The message of the last line of a request.
+/// The message of the last line about a request.
 const ANSWERED: &str = "answered a request";
 
-/// The message of the line in which a request's stages are done.
-const CHOSE: &str = "chose an engine";
+/// The message of the line that is written when the stages of a request are complete.
+const CHOSE_ENGINE: &str = "chose an engine";
 
 /// A line of a process's log.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Line {
-    /// When it was written.
+    /// The time when it was written.
     pub(crate) time: Timestamp,
-    /// What it says.
+    /// The message.
     message: String,
-    /// The request that it is about.
+    /// The id of the request.
     pub(crate) request: Option<String>,
-    /// What else it says.
+    /// All other fields.
     #[serde(flatten)]
     fields: BTreeMap<String, Value>,
-    /// What stood before the line, such as the name of its process.
+    /// The text before the JSON, such as the name of the process.
     #[serde(skip)]
     prefix: String,
 }
 
-/// What became of a request.
+/// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum End {
-    /// Answered by the aim of its route.
+pub(crate) enum RequestResult {
+    /// Answered within the target time of its route.
     InAim,
-    /// Answered later.
+    /// Answered after the target time.
     Late,
-    /// Refused as not run; it may come back.
+    /// Refused without having run; the caller may retry.
     Refused,
-    /// Failed, at an upstream or because its time was over.
+    /// Failed at an upstream or timed out.
     Failed,
-    /// Not allowed: no route, no key, or no proper request.
+    /// Not permitted: unknown route, invalid key or invalid request.
     Denied,
 }
 
-/// The last line of a request.
+/// The content of the last line about a request.
 #[derive(Debug)]
 pub(crate) struct Answered<'a> {
-    /// Its route.
+    /// The route.
     pub(crate) route: &'a str,
-    /// What became of it.
-    pub(crate) end: End,
-    /// The status, or the entry's own reason.
+    /// The result.
+    pub(crate) result: RequestResult,
+    /// The HTTP status, or the reason if the entry itself ended the request.
     pub(crate) outcome: &'a str,
 }
 
-/// What the stages of a request took.
+/// The times of one stage of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StageTimes {
-    /// The stage's number.
+    /// The number of the stage.
     pub(crate) stage: u32,
-    /// Waited at the owner for an upstream.
+    /// The time that the owner of the stage waited for an upstream.
     pub(crate) wait: Duration,
-    /// In the call that made it.
+    /// The duration of the call that produced the result.
     pub(crate) call: Duration,
 }
 
 impl Line {
-    /// Reads a line; `None` where it is none.
+    /// Parses a line; returns `None` if it is not a log line.
     pub(crate) fn read(text: &str, prefix: &str) -> Option<Self> {
         let line: Self = serde_json::from_str(text).ok()?;
         Some(Self { prefix: prefix.trim().to_owned(), ..line })
@@ -82,33 +82,33 @@
         self.fields.get(field)?.as_u64()
     }
 
-    /// The end of a request, if this is its last line.
+    /// Returns the result of the request, if this is its last line.
     pub(crate) fn answered(&self) -> Option<Answered<'_>> {
         if self.message != ANSWERED {
             return None;
         }
         let outcome = self.text("outcome")?;
         let in_aim = self.number("age_ms")? <= self.number("target_ms").unwrap_or(u64::MAX);
-        let end = match outcome.parse::<u16>() {
-            Ok(200..300) if in_aim => End::InAim,
-            Ok(200..300) => End::Late,
-            Ok(429 | 503) => End::Refused,
-            Ok(_) => End::Failed,
-            Err(_) => reason(outcome),
+        let result = match outcome.parse::<u16>() {
+            Ok(200..300) if in_aim => RequestResult::InAim,
+            Ok(200..300) => RequestResult::Late,
+            Ok(429 | 503) => RequestResult::Refused,
+            Ok(_) => RequestResult::Failed,
+            Err(_) => classify_reason(outcome),
         };
-        Some(Answered { route: self.text("route").unwrap_or("none"), end, outcome })
+        Some(Answered { route: self.text("route").unwrap_or("none"), result, outcome })
     }
 
-    /// The times of a request's stages, if they are done with this line.
+    /// Returns the times of the request's stages, if this line reports them.
     pub(crate) fn stages(&self) -> Option<Vec<StageTimes>> {
-        if self.message != CHOSE {
+        if self.message != CHOSE_ENGINE {
             return None;
         }
         self.text("stages")?.split_whitespace().map(stage_times).collect()
     }
 
-    /// The line as part of a request's story.
-    pub(crate) fn told(&self) -> String {
+    /// Formats the line for humans.
+    pub(crate) fn describe(&self) -> String {
         let fields = self.fields.iter().filter(|it| !matches!(&**it.0, "level" | "target"));
         let fields: Vec<String> = fields.map(|(name, it)| format!("{name}={it}")).collect();
         let from = if self.prefix.is_empty() { "" } else { " " };
@@ -117,18 +117,18 @@
     }
 }
 
-/// What an entry's own reason says of a request.
-fn reason(outcome: &str) -> End {
+/// Returns the result that a reason stands for.
+fn classify_reason(outcome: &str) -> RequestResult {
     match outcome {
         "no plan" | "ending" | "no room" | "no upstream" | "overloaded" | "no stage" | "late" => {
-            End::Refused
+            RequestResult::Refused
         }
-        "late, may have run" | "failed, may have run" => End::Failed,
-        _ => End::Denied,
+        "late, may have run" | "failed, may have run" => RequestResult::Failed,
+        _ => RequestResult::Denied,
     }
 }
 
-/// Reads `stage:pieces:wait:call:whole`, the last three in ms.
+/// Parses `stage:pieces:wait:call:total`, where the last three are in milliseconds.
 fn stage_times(text: &str) -> Option<StageTimes> {
     let numbers: Option<Vec<u64>> = text.split(':').map(|it| it.parse().ok()).collect();
     let [stage, _, wait, call, _] = numbers?[..] else { return None };
--- a/crates/mothplank/src/commands/logs/summary.rs
+++ b/crates/mothplank/src/commands/logs/summary.rs
@@ -1,44 +1,44 @@
-//! Counts and times of the requests in a span of logs.
+//! Counts and times of the requests in the logs.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
 use serde::Serialize;
 
-use super::line::{End, Line, StageTimes};
+use super::line::{Line, RequestResult, StageTimes};
 use crate::table::Table;
 
-/// What became of requests.
+/// The number of requests by result.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(crate) struct Counts {
-    /// Answered by the aim.
+    /// Answered within the target time.
     pub(crate) in_aim: u64,
-    /// Answered later.
+    /// Answered after the target time.
     pub(crate) late: u64,
-    /// Refused as not run.
+    /// Refused without having run.
     pub(crate) refused: u64,
     /// Failed.
     pub(crate) failed: u64,
-    /// Not allowed.
+    /// Not permitted.
     pub(crate) denied: u64,
 }
 
-/// The times of one stage of one route, in ms.
+/// The times of one stage of one route, in milliseconds.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct StageRow {
     route: String,
     stage: u32,
-    /// Requests counted: those that came late.
+    /// The number of late requests, the only ones counted here.
     late: usize,
     wait_p50: u64,
     wait_p90: u64,
     call_p50: u64,
     call_p90: u64,
-    /// For how many of them no other stage took longer.
+    /// The number of these requests in which no other stage took longer.
     longest: usize,
 }
 
-/// A reason why requests were not answered.
+/// The number of requests of a route that were not answered for one reason.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ReasonRow {
     route: String,
@@ -46,27 +46,27 @@
     requests: u64,
 }
 
-/// All that is told of a span.
+/// The summary of the logs.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct Summary {
-    /// By route.
+    /// The results by route.
     pub(crate) routes: BTreeMap<String, Counts>,
-    /// Where late requests spent their time before an engine.
+    /// The times that late requests spent in the stages before an engine.
     pub(crate) stages: Vec<StageRow>,
-    /// Why requests were refused, failed or not allowed.
+    /// The reasons why requests were refused, failed or were not permitted.
     pub(crate) reasons: Vec<ReasonRow>,
-    /// By second from the first request on.
+    /// The results by second, from the first request on.
     pub(crate) seconds: Vec<Counts>,
 }
 
 impl Counts {
-    fn add(&mut self, end: End) {
-        let count = match end {
-            End::InAim => &mut self.in_aim,
-            End::Late => &mut self.late,
-            End::Refused => &mut self.refused,
-            End::Failed => &mut self.failed,
-            End::Denied => &mut self.denied,
+    fn add(&mut self, result: RequestResult) {
+        let count = match result {
+            RequestResult::InAim => &mut self.in_aim,
+            RequestResult::Late => &mut self.late,
+            RequestResult::Refused => &mut self.refused,
+            RequestResult::Failed => &mut self.failed,
+            RequestResult::Denied => &mut self.denied,
         };
         *count += 1;
     }
@@ -77,8 +77,8 @@
 }
 
 impl Summary {
-    /// Sums up lines that are sorted by time.
-    pub(crate) fn of(lines: &[Line]) -> Self {
+    /// Summarizes lines that are sorted by time.
+    pub(crate) fn from_lines(lines: &[Line]) -> Self {
         let mut summary = Self::default();
         let mut stages: HashMap<&str, Vec<StageTimes>> = HashMap::new();
         let mut late: BTreeMap<(&str, u32), Vec<(StageTimes, bool)>> = BTreeMap::new();
@@ -90,16 +90,16 @@
                 stages.insert(id, times);
             }
             let Some(it) = line.answered() else { continue };
-            summary.routes.entry(it.route.to_owned()).or_default().add(it.end);
+            summary.routes.entry(it.route.to_owned()).or_default().add(it.result);
             let first = *first.get_or_insert(line.time);
             let second = line.time.duration_since(first).as_secs() as usize;
             if summary.seconds.len() <= second {
                 summary.seconds.resize(second + 1, Counts::default());
             }
-            summary.seconds[second].add(it.end);
-            match it.end {
-                End::InAim => {}
-                End::Late => {
+            summary.seconds[second].add(it.result);
+            match it.result {
+                RequestResult::InAim => {}
+                RequestResult::Late => {
                     let times = stages.get(id).map_or(&[][..], Vec::as_slice);
                     let longest = times.iter().map(|it| it.wait + it.call).max();
                     for time in times {
@@ -120,8 +120,8 @@
         summary
     }
 
-    /// The tables for people.
-    pub(crate) fn text(&self) -> String {
+    /// Formats the summary as tables for humans.
+    pub(crate) fn format(&self) -> String {
         let heading = ["route", "in aim", "late", "refused", "failed", "denied"];
         let mut routes = Table::with_heading(&heading);
         for (route, counts) in &self.routes {
@@ -175,7 +175,7 @@
     times
 }
 
-/// The time in ms that the share `share` does not exceed; zero where there is none.
+/// Returns the `share` quantile of sorted times in milliseconds; 0 if there are none.
 fn quantile(times: &[Duration], share: f64) -> u64 {
     let place = (times.len().saturating_sub(1) as f64 * share).round() as usize;
     times.get(place).map_or(0, |it| it.as_millis() as u64)
--- a/crates/mothplank/src/commands/mark.rs
+++ b/crates/mothplank/src/commands/mark.rs
@@ -1,25 +1,26 @@
-//! `mothplank mark`: marks an upstream as leaving, or takes the mark back.
+//! `mothplank mark`: marks an upstream as leaving, or removes the mark.
 
 use eyre::Result;
 use http::StatusCode;
 use serde_json::json;
 
-use crate::config::Mark;
+use crate::config::MarkArgs;
 use crate::exit_codes::ExitCode;
-use crate::operator::{Operator, Resend, refusal};
+use crate::operator::{OperatorClient, RetryPolicy, refusal_error};
 use crate::output::{Format, note};
 
 /// Runs the command.
 ///
 /// # Errors
-/// Where no member answers, or the mark is refused.
-pub(crate) async fn run(format: Format, mark: Mark) -> Result<ExitCode> {
-    let Mark { target, upstream, leaving, id } = mark;
+/// Returns an error if no member answers or the mark is refused.
+pub(crate) async fn run(format: Format, args: MarkArgs) -> Result<ExitCode> {
+    let MarkArgs { target, upstream, leaving, id } = args;
     note(&format!("mark {id}"));
     let body = json!({"id": id, "upstream": upstream, "leaving": leaving});
-    let answer = Operator::open(target).post("/v1/marks", &body, Resend::Allowed).await?;
-    if answer.status != StatusCode::OK {
-        return Err(refusal(&answer).into());
+    let response =
+        OperatorClient::new(target).post("/v1/marks", &body, RetryPolicy::Always).await?;
+    if response.status != StatusCode::OK {
+        return Err(refusal_error(&response).into());
     }
     let what = if leaving { "leaving" } else { "back" };
     format.print(&json!({"outcome": "accepted", "id": id}), || {
--- a/crates/mothplank/src/commands/member.rs
+++ b/crates/mothplank/src/commands/member.rs
@@ -1,4 +1,4 @@
-//! `mothplank member`: changes who takes part in the replicated state.
+//! `mothplank member`: changes the members of the cluster.
 
 use eyre::Result;
 use http::StatusCode;
@@ -6,17 +6,17 @@
 
 use crate::config::{MemberAction, Target};
 use crate::exit_codes::ExitCode;
-use crate::operator::{Operator, Resend, refusal};
+use crate::operator::{OperatorClient, RetryPolicy, refusal_error};
 use crate::output::Format;
 
 /// Runs the command.
 ///
 /// # Errors
-/// Where no member answers, or another change of members is under way.
+/// Returns an error if no member answers or another change of the members is in progress.
 pub(crate) async fn run(format: Format, target: Target, action: MemberAction) -> Result<ExitCode> {
     let (path, body, done) = match action {
         MemberAction::Add(vm) => {
-            let done = format!("{vm} is being caught up and then becomes a voter");
+            let done = format!("{vm} becomes a voter as soon as it has caught up");
             ("/v1/members", json!({"action": "add", "vm": vm}), done)
         }
         MemberAction::Remove(vm) => {
@@ -30,9 +30,9 @@
             ("/v1/transfer", json!({}), "leadership goes to another member".to_owned())
         }
     };
-    let answer = Operator::open(target).post(path, &body, Resend::Refused).await?;
-    if answer.status != StatusCode::OK {
-        return Err(refusal(&answer).into());
+    let response = OperatorClient::new(target).post(path, &body, RetryPolicy::IfNotSent).await?;
+    if response.status != StatusCode::OK {
+        return Err(refusal_error(&response).into());
     }
     format.print(&json!({"outcome": "accepted"}), || done)?;
     Ok(ExitCode::Success)
--- a/crates/mothplank/src/commands/mod.rs
+++ b/crates/mothplank/src/commands/mod.rs
@@ -25,13 +25,13 @@
 use crate::config::{Command, Config};
 use crate::exit_codes::ExitCode;
 
-/// The release that runs.
+/// The version of this binary.
 const RELEASE: &str = env!("CARGO_PKG_VERSION");
 
-/// Does what the command line asked for.
+/// Runs a command.
 ///
 /// # Errors
-/// With the message to print; an `Ending` in it decides the exit code.
+/// Returns the error to print; an `ExitError` sets the exit code.
 pub(crate) fn run(config: Config) -> Result<ExitCode> {
     let format = config.format;
     match config.command {
--- a/crates/mothplank/src/commands/registry.rs
+++ b/crates/mothplank/src/commands/registry.rs
@@ -9,18 +9,19 @@
 use crate::commands::host;
 use crate::exit_codes::ExitCode;
 
-/// Runs the program until a signal ends it; leadership is handed over first.
+/// Runs the member until a signal ends it; a leader hands leadership over first.
 ///
 /// # Errors
-/// Where it cannot start.
+/// Returns an error if the member cannot start.
 pub(crate) fn run() -> Result<ExitCode> {
     let path = Settings::path()?;
     let settings = Settings::read(&path)?;
-    let operators = settings.operators.ok_or_eyre("the settings name no operators' address")?;
-    let list = settings.list.ok_or_eyre("the settings name no list of upstreams")?;
+    let operators = settings.operators.ok_or_eyre("the settings lack the address for operators")?;
+    let list =
+        settings.list.ok_or_eyre("the settings lack the address of the list of upstreams")?;
     let config = MemberConfig {
         vm: settings.vm.clone(),
-        data_dir: settings.data_dir.ok_or_eyre("the settings name no data folder")?,
+        data_dir: settings.data_dir.ok_or_eyre("the settings lack the data folder")?,
         address: settings.address,
         seeds: settings.seeds,
         bootstrap: settings.bootstrap,
--- a/crates/mothplank/src/commands/report.rs
+++ b/crates/mothplank/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! `mothplank report`: use and cost by customer, stage and pool.
+//! `mothplank report`: shows usage and cost by customer, stage and pool.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -7,41 +7,44 @@
 use eyre::{Result, WrapErr, eyre};
 use plotters::prelude::*;
 
-use crate::config::Report as Ask;
+use crate::config::ReportArgs;
 use crate::exit_codes::ExitCode;
-use crate::messages::{Report, UseRow};
-use crate::operator::Operator;
+use crate::messages::{UsageReport, UsageRow};
+use crate::operator::OperatorClient;
 use crate::output::{Format, note};
 use crate::table::Table;
 
-/// The heading of the table and of the CSV file.
+/// The column headings of the table and of the CSV file.
 const HEADING: [&str; 8] =
     ["customer", "stage", "pool", "calls", "busy_us", "tokens", "wasted_us", "cost"];
-/// The size of the drawing, in pixels.
-const DRAWING: (u32, u32) = (800, 400);
+/// The size of the chart, in pixels.
+const SVG_SIZE_PX: (u32, u32) = (800, 400);
 
 /// Runs the command.
 ///
 /// # Errors
-/// Where no member answers or a file cannot be written.
-pub(crate) async fn run(format: Format, ask: Ask) -> Result<ExitCode> {
-    let path = format!("/v1/report?from={}&to={}", ask.from, ask.to);
-    let report: Report = Operator::open(ask.target).get(&path).await?;
+/// Returns an error if no member answers or a file cannot be written.
+pub(crate) async fn run(format: Format, args: ReportArgs) -> Result<ExitCode> {
+    let path = format!("/v1/report?from={}&to={}", args.from, args.to);
+    let report: UsageReport = OperatorClient::new(args.target).get(&path).await?;
     if !report.unheard.is_empty() {
-        note(&format!("incomplete: no rows from {}", report.unheard.join(", ")));
+        note(&format!(
+            "the report is incomplete: no rows from the members {}",
+            report.unheard.join(", ")
+        ));
     }
-    if let Some(path) = &ask.csv {
+    if let Some(path) = &args.csv {
         fs::write(path, csv(&report))
             .wrap_err_with(|| format!("cannot write {}", path.display()))?;
     }
-    if let Some(path) = &ask.svg {
+    if let Some(path) = &args.svg {
         draw(&report, path)?;
     }
     format.print(&report, || table(&report))?;
     Ok(ExitCode::Success)
 }
 
-fn cells(row: &UseRow) -> Vec<String> {
+fn cells(row: &UsageRow) -> Vec<String> {
     vec![
         row.customer.clone(),
         row.stage.clone(),
@@ -54,35 +57,35 @@
     ]
 }
 
-fn table(report: &Report) -> String {
+fn table(report: &UsageReport) -> String {
     let mut table = Table::with_heading(&HEADING);
     report.rows.iter().for_each(|it| table.add(cells(it)));
     let total = report.rows.iter().fold(0.0, |sum, it| sum + it.cost);
     format!("{}\ntotal cost {total:.6}", table.format())
 }
 
-/// Names follow a rule without commas or quotes, so no cell needs quoting.
-fn csv(report: &Report) -> String {
+/// Formats the report as CSV. Names contain neither commas nor quotes, so no cell needs quoting.
+fn csv(report: &UsageReport) -> String {
     let rows = report.rows.iter().map(|it| cells(it).join(","));
     let lines: Vec<String> = std::iter::once(HEADING.join(",")).chain(rows).collect();
     lines.join("\r\n") + "\r\n"
 }
 
-fn draw(report: &Report, path: &Path) -> Result<()> {
+fn draw(report: &UsageReport, path: &Path) -> Result<()> {
     let mut costs: BTreeMap<&str, f64> = BTreeMap::new();
     for row in &report.rows {
         *costs.entry(&row.stage).or_default() += row.cost;
     }
     let bars: Vec<(&str, f64)> = costs.into_iter().collect();
     let mut text = String::new();
-    draw_bars(&bars, &mut text).map_err(|e| eyre!("cannot draw: {e}"))?;
+    draw_bars(&bars, &mut text).map_err(|e| eyre!("cannot draw the chart: {e}"))?;
     fs::write(path, text).wrap_err_with(|| format!("cannot write {}", path.display()))
 }
 
 fn draw_bars(bars: &[(&str, f64)], text: &mut String) -> Result<(), Box<dyn std::error::Error>> {
     let highest = bars.iter().map(|it| it.1).fold(f64::MIN_POSITIVE, f64::max);
     let count = bars.len().max(1) as f64;
-    let area = SVGBackend::with_string(text, DRAWING).into_drawing_area();
+    let area = SVGBackend::with_string(text, SVG_SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption("Cost by stage", ("sans-serif", 20))
--- a/crates/mothplank/src/commands/signals.rs
+++ b/crates/mothplank/src/commands/signals.rs
@@ -1,22 +1,22 @@
-//! The signals that end a program.
+//! The signals that stop a server process.
 
 use eyre::{Result, WrapErr};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// SIGTERM and SIGINT. While this exists neither ends the process: a second signal during a drain
-/// would otherwise cut the requests that the drain waits for.
+/// Handlers of SIGTERM and SIGINT. As long as they exist, neither signal kills the process.
+/// Otherwise a second signal during a drain would interrupt the requests that the drain waits for.
 #[derive(Debug)]
 pub(super) struct Signals {
     terminate: Signal,
     interrupt: Signal,
 }
 
-/// Takes over both signals.
+/// Installs the handlers of both signals.
 ///
 /// # Errors
-/// Where the kernel refuses.
+/// Returns an error if a handler cannot be installed.
 pub(super) fn open() -> Result<Signals> {
-    let open = |kind| signal(kind).wrap_err("cannot wait for signals");
+    let open = |kind| signal(kind).wrap_err("cannot install a signal handler");
     Ok(Signals {
         terminate: open(SignalKind::terminate())?,
         interrupt: open(SignalKind::interrupt())?,
@@ -24,7 +24,7 @@
 }
 
 impl Signals {
-    /// Waits for the first of either.
+    /// Waits for either signal.
     pub(super) async fn first(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/crates/mothplank/src/commands/standin.rs
+++ b/crates/mothplank/src/commands/standin.rs
@@ -1,67 +1,67 @@
-//! `mothplank standin`: runs a fake of an outside system.
+//! `mothplank standin`: runs a simulated external system.
 
 use eyre::{Result, eyre};
 use serde_json::json;
 use standins::{Kind, engine, platform, proxy, stage};
 use types::{Fencing, Micros, Millis};
 
-use crate::config::Standin;
+use crate::config::StandinArgs;
 use crate::exit_codes::ExitCode;
 use crate::output::write_line;
 
-/// Runs the command until a signal ends it.
+/// Runs the stand-in until a signal ends it.
 ///
 /// # Errors
-/// Where the address cannot be listened on.
-pub(crate) async fn run(standin: Standin) -> Result<ExitCode> {
-    let kind = kind(standin)?;
+/// Returns an error if the stand-in cannot listen on its address.
+pub(crate) async fn run(args: StandinArgs) -> Result<ExitCode> {
+    let kind = kind(args)?;
     standins::run(kind, |address| {
-        // A starter that has gone away does not need the address.
+        // If the parent process has closed the pipe, nobody needs the address.
         let _ = write_line(&json!({"address": address}).to_string());
     })
     .await?;
     Ok(ExitCode::Success)
 }
 
-fn kind(standin: Standin) -> Result<Kind> {
-    Ok(match standin.kind.as_str() {
-        "engine" => Kind::Engine(engine(standin)),
-        "stage" => Kind::Stage(stage(&standin)),
-        "service" => Kind::Service(stage(&standin)),
-        "platform" => Kind::Platform(platform::Config { listen: standin.listen, vms: standin.vms }),
+fn kind(args: StandinArgs) -> Result<Kind> {
+    Ok(match args.kind.as_str() {
+        "engine" => Kind::Engine(engine(args)),
+        "stage" => Kind::Stage(stage(&args)),
+        "service" => Kind::Service(stage(&args)),
+        "platform" => Kind::Platform(platform::Config { listen: args.listen, vms: args.vms }),
         _ => {
-            let target = standin.target.ok_or_else(|| eyre!("a proxy needs --target"))?;
+            let target = args.target.ok_or_else(|| eyre!("a proxy needs --target"))?;
             let mut config = proxy::Config::to(target);
-            config.listen = standin.listen;
-            config.side = standin.side.unwrap_or(config.side);
-            config.delay = standin.delay.map_or(config.delay, Millis);
+            config.listen = args.listen;
+            config.side = args.side.unwrap_or(config.side);
+            config.delay = args.delay_ms.map_or(config.delay, Millis);
             Kind::Proxy(config)
         }
     })
 }
 
-fn engine(standin: Standin) -> engine::Config {
+fn engine(args: StandinArgs) -> engine::Config {
     let config = engine::Config::default();
     engine::Config {
-        listen: standin.listen,
-        capacity: standin.capacity.map_or(config.capacity, |it| it as usize),
-        queue: standin.queue.map_or(config.queue, |it| it as usize),
-        first: standin.first.map_or(config.first, Micros),
-        token: standin.token.map_or(config.token, Micros),
-        loading: standin.loading.map_or(config.loading, Millis),
-        fencing: if standin.no_fencing { Fencing::Ignores } else { Fencing::Checks },
-        model: standin.model,
+        listen: args.listen,
+        capacity: args.capacity.map_or(config.capacity, |it| it as usize),
+        queue: args.queue.map_or(config.queue, |it| it as usize),
+        first: args.first_us.map_or(config.first, Micros),
+        token: args.token_us.map_or(config.token, Micros),
+        loading: args.loading_ms.map_or(config.loading, Millis),
+        fencing: if args.no_fencing { Fencing::Ignores } else { Fencing::Checks },
+        model: args.model,
         ..config
     }
 }
 
-fn stage(standin: &Standin) -> stage::Config {
+fn stage(args: &StandinArgs) -> stage::Config {
     let config = stage::Config::default();
     stage::Config {
-        listen: standin.listen,
-        capacity: standin.capacity.map_or(config.capacity, |it| it as usize),
-        queue: standin.queue.map_or(config.queue, |it| it as usize),
-        time: standin.time.map_or(config.time, |it| stage::ServiceTime::Fixed(Micros(it))),
+        listen: args.listen,
+        capacity: args.capacity.map_or(config.capacity, |it| it as usize),
+        queue: args.queue.map_or(config.queue, |it| it as usize),
+        time: args.time_us.map_or(config.time, |it| stage::ServiceTime::Fixed(Micros(it))),
         ..config
     }
 }
--- a/crates/mothplank/src/commands/status.rs
+++ b/crates/mothplank/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `mothplank status`: members, entries, upstreams and what is not as it should be.
+//! `mothplank status`: shows members, entries, upstreams and the problems of the system.
 
 use eyre::Result;
 use serde_json::{Value, json};
@@ -6,16 +6,16 @@
 use crate::config::Target;
 use crate::exit_codes::ExitCode;
 use crate::messages::Status;
-use crate::operator::Operator;
+use crate::operator::OperatorClient;
 use crate::output::Format;
 use crate::table::Table;
 
 /// Runs the command.
 ///
 /// # Errors
-/// Where no member answers.
+/// Returns an error if no member answers.
 pub(crate) async fn run(format: Format, target: Target, why: bool) -> Result<ExitCode> {
-    let status: Status = Operator::open(target).get("/v1/status").await?;
+    let status: Status = OperatorClient::new(target).get("/v1/status").await?;
     if why {
         let reasons = reasons(&status);
         format.print(&json!({"why": reasons}), || match reasons.is_empty() {
--- a/crates/mothplank/src/config.rs
+++ b/crates/mothplank/src/config.rs
@@ -1,4 +1,4 @@
-//! What the command line asked for, as plain values.
+//! The arguments of the commands as typed values.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,213 +8,213 @@
 
 use crate::output::Format;
 
-/// The whole command line.
+/// The parsed command line.
 #[derive(Debug)]
 pub(crate) struct Config {
-    /// The form of the output.
+    /// The output format.
     pub(crate) format: Format,
-    /// What to do.
+    /// The command.
     pub(crate) command: Command,
 }
 
-/// What to do.
+/// A command with its arguments.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Show the whole path in one process.
+    /// Runs a complete system in one process.
     Demo,
-    /// Run a control member with this settings file.
+    /// Runs a control member with this settings file.
     Control(PathBuf),
-    /// Run an entry with this settings file.
+    /// Runs an entry with this settings file.
     Entry(PathBuf),
-    /// Run the entry of a platform, with the platform's settings.
+    /// Runs the entry of a platform, with the platform's settings.
     Gateway,
-    /// Run a member of a platform's registry, with the platform's settings.
+    /// Runs a member of a platform's registry, with the platform's settings.
     Registry,
-    /// Start a new cluster.
+    /// Creates a new cluster.
     Init(Target),
-    /// Check files.
-    Check(Check),
-    /// Bring files into force.
-    Apply(Apply),
-    /// Show the state; only what is not as it should be if the flag is set.
+    /// Checks settings files.
+    Check(CheckArgs),
+    /// Puts the service's files into force.
+    Apply(ApplyArgs),
+    /// Shows the state of the system; with `true` only the problems.
     Status(Target, bool),
-    /// Print the audit trail after a record.
+    /// Prints the records of the audit trail after this number.
     Audit(Target, u64),
-    /// Change the members.
+    /// Changes the members of the cluster.
     Member(Target, MemberAction),
-    /// Mark an upstream.
-    Mark(Mark),
-    /// Show use and cost.
-    Report(Report),
-    /// Read logs of entries.
-    Logs(Logs),
-    /// Send one request.
-    Call(Call),
-    /// Run a fake of an outside system.
-    Standin(Standin),
-    /// Send many requests.
-    Load(Load),
+    /// Marks an upstream.
+    Mark(MarkArgs),
+    /// Shows usage and cost.
+    Report(ReportArgs),
+    /// Summarizes logs of entries.
+    Logs(LogsArgs),
+    /// Sends one request.
+    Call(CallArgs),
+    /// Runs a simulated external system.
+    Standin(StandinArgs),
+    /// Runs a load test.
+    Load(LoadArgs),
 }
 
-/// Where an operator's request goes.
+/// The destination and credentials of an operator's request.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
-    /// The control members.
+    /// The addresses of control members.
     pub(crate) control: Vec<SocketAddr>,
     /// The operator's token.
     pub(crate) token: String,
-    /// How long to try.
-    pub(crate) within: Duration,
+    /// How long to keep trying.
+    pub(crate) timeout: Duration,
 }
 
-/// The files of a document.
+/// The paths of a document's files.
 #[derive(Debug)]
-pub(crate) struct Files {
+pub(crate) struct DocumentPaths {
     /// The base file.
     pub(crate) base: PathBuf,
     /// Folders of overlays and single overlays.
     pub(crate) overlays: Vec<PathBuf>,
 }
 
-/// `check`.
+/// The arguments of `check`.
 #[derive(Debug)]
-pub(crate) struct Check {
+pub(crate) struct CheckArgs {
     /// The service's files.
-    pub(crate) files: Option<Files>,
-    /// Nodes' settings files.
+    pub(crate) files: Option<DocumentPaths>,
+    /// The settings files of nodes.
     pub(crate) nodes: Vec<PathBuf>,
 }
 
-/// `apply`.
+/// The arguments of `apply`.
 #[derive(Debug)]
-pub(crate) struct Apply {
-    /// Where to.
+pub(crate) struct ApplyArgs {
+    /// The control members.
     pub(crate) target: Target,
     /// The service's files.
-    pub(crate) files: Files,
-    /// The version the change is based on; else the one in force.
+    pub(crate) files: DocumentPaths,
+    /// The version that the change is based on; `None` for the version in force.
     pub(crate) based_on: Option<u64>,
-    /// The change's id.
+    /// The id of the change.
     pub(crate) id: ChangeId,
-    /// How long to wait until it is in force everywhere; `None` does not wait.
+    /// How long to wait until the change is in force everywhere; `None` does not wait.
     pub(crate) wait: Option<Duration>,
 }
 
-/// `member`.
+/// A change of the members.
 #[derive(Debug)]
 pub(crate) enum MemberAction {
-    /// Make a VM a voter.
+    /// Makes a VM a voter.
     Add(VmName),
-    /// Remove a VM.
+    /// Removes a VM.
     Remove(VmName),
-    /// Hand leadership to a VM, or to any.
+    /// Hands leadership over to a VM, or to any member.
     Transfer(Option<VmName>),
 }
 
-/// `mark`.
+/// The arguments of `mark`.
 #[derive(Debug)]
-pub(crate) struct Mark {
-    /// Where to.
+pub(crate) struct MarkArgs {
+    /// The control members.
     pub(crate) target: Target,
     /// The upstream.
     pub(crate) upstream: UpstreamName,
     /// Whether it is leaving.
     pub(crate) leaving: bool,
-    /// The mark's id.
+    /// The id of the mark.
     pub(crate) id: ChangeId,
 }
 
-/// `report`.
+/// The arguments of `report`.
 #[derive(Debug)]
-pub(crate) struct Report {
-    /// Where to.
+pub(crate) struct ReportArgs {
+    /// The control members.
     pub(crate) target: Target,
-    /// Start of the span, in ms since the Unix epoch.
+    /// The start of the time range, in milliseconds since the Unix epoch.
     pub(crate) from: u64,
-    /// End of the span, in ms since the Unix epoch.
+    /// The end of the time range, in milliseconds since the Unix epoch.
     pub(crate) to: u64,
-    /// Where to write CSV.
+    /// The CSV file to write.
     pub(crate) csv: Option<PathBuf>,
-    /// Where to draw SVG.
+    /// The SVG file to write.
     pub(crate) svg: Option<PathBuf>,
 }
 
-/// `logs`.
+/// The arguments of `logs`.
 #[derive(Debug)]
-pub(crate) struct Logs {
+pub(crate) struct LogsArgs {
     /// The log files.
     pub(crate) files: Vec<PathBuf>,
-    /// The request whose story is told.
+    /// The request whose lines are printed.
     pub(crate) id: Option<String>,
-    /// Start of the span.
+    /// The start of the time range.
     pub(crate) from: Option<jiff::Timestamp>,
-    /// End of the span.
+    /// The end of the time range.
     pub(crate) to: Option<jiff::Timestamp>,
-    /// Where to draw SVG.
+    /// The SVG file to write.
     pub(crate) svg: Option<PathBuf>,
 }
 
-/// `call`.
+/// The arguments of `call`.
 #[derive(Clone, Debug)]
-pub(crate) struct Call {
+pub(crate) struct CallArgs {
     /// The pipeline.
     pub(crate) pipeline: PipelineName,
-    /// The entries, tried in turn.
+    /// The addresses of entries, tried in turn.
     pub(crate) entries: Vec<SocketAddr>,
     /// The customer's key.
     pub(crate) key: String,
     /// The input.
     pub(crate) input: serde_json::Value,
-    /// The deadline; else the pipeline's.
+    /// The deadline; `None` for the deadline of the pipeline.
     pub(crate) deadline: Option<Duration>,
     /// The idempotency key.
-    pub(crate) idempotency: Option<IdempotencyKey>,
-    /// The most tokens to generate.
+    pub(crate) idempotency_key: Option<IdempotencyKey>,
+    /// The maximum number of tokens to generate.
     pub(crate) max_tokens: Option<u64>,
-    /// Whether tokens are printed as they come.
+    /// Whether to print tokens as they arrive.
     pub(crate) stream: bool,
-    /// How long to go on resending.
-    pub(crate) resend: Duration,
+    /// How long to keep resending.
+    pub(crate) retry_for: Duration,
 }
 
-/// `standin`.
+/// The arguments of `standin`.
 #[derive(Debug)]
-pub(crate) struct Standin {
-    /// The kind, as written.
+pub(crate) struct StandinArgs {
+    /// The kind of system.
     pub(crate) kind: String,
-    /// Where it listens.
+    /// The address to listen on.
     pub(crate) listen: SocketAddr,
-    /// Where a proxy forwards to.
+    /// The address that a proxy forwards to.
     pub(crate) target: Option<SocketAddr>,
-    /// Where a proxy takes commands.
+    /// The address where a proxy accepts commands.
     pub(crate) side: Option<SocketAddr>,
-    /// Calls at once.
+    /// The maximum number of concurrent calls.
     pub(crate) capacity: Option<u64>,
-    /// Calls that wait.
+    /// The maximum number of waiting calls.
     pub(crate) queue: Option<u64>,
-    /// How long a call runs, in microseconds.
-    pub(crate) time: Option<u64>,
+    /// The duration of a call, in microseconds.
+    pub(crate) time_us: Option<u64>,
     /// Time to the first token, in microseconds.
-    pub(crate) first: Option<u64>,
+    pub(crate) first_us: Option<u64>,
     /// Time between tokens, in microseconds.
-    pub(crate) token: Option<u64>,
-    /// How long an order takes, in milliseconds.
-    pub(crate) loading: Option<u64>,
-    /// How long a proxy holds each chunk back, in milliseconds.
-    pub(crate) delay: Option<u64>,
+    pub(crate) token_us: Option<u64>,
+    /// The time until an order takes effect, in milliseconds.
+    pub(crate) loading_ms: Option<u64>,
+    /// The delay of each chunk in a proxy, in milliseconds.
+    pub(crate) delay_ms: Option<u64>,
     /// Whether an engine ignores fencing numbers.
     pub(crate) no_fencing: bool,
-    /// The model loaded at the start.
+    /// The model that is loaded at startup.
     pub(crate) model: Option<ModelName>,
-    /// The VMs of a platform's list.
+    /// The VMs in a platform's list.
     pub(crate) vms: Vec<VmName>,
 }
 
-/// `load`.
+/// The arguments of `load`.
 #[derive(Debug)]
-pub(crate) struct Load {
+pub(crate) struct LoadArgs {
     /// The scenario file.
     pub(crate) scenario: PathBuf,
-    /// Where to write the results in full.
+    /// The folder for the complete results.
     pub(crate) folder: Option<PathBuf>,
 }
--- a/crates/mothplank/src/exit_codes.rs
+++ b/crates/mothplank/src/exit_codes.rs
@@ -1,42 +1,42 @@
-//! How the process ends, for scripts.
+//! The exit codes of the process, for scripts.
 
 use std::process::ExitCode as ProcessCode;
 
-/// An exit code. `mothplank --help` lists them.
+/// An exit code, as listed by `mothplank --help`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExitCode {
-    /// It is done.
+    /// The command succeeded.
     Success = 0,
-    /// Something else failed; the message says what.
+    /// Any other error; the message describes it.
     General = 1,
     /// The settings or the service's files have faults.
     Faults = 3,
-    /// Another change came first, or the id was used before with another content.
+    /// Another change came first, or the id was already used with a different content.
     Conflict = 4,
-    /// It did not run; it may be sent again.
+    /// The request did not run and may be sent again.
     NotRun = 5,
-    /// It may have run or not.
+    /// It is not known whether the request ran.
     Unknown = 6,
-    /// It ran and ended in an error, or was refused for good.
+    /// The request ran and failed, or was refused permanently.
     Failed = 7,
-    /// The change is accepted but was not seen in force everywhere in time.
+    /// The change was accepted, but was not in force everywhere before the timeout.
     Pending = 8,
     /// The audit trail does not verify.
-    BrokenTrail = 9,
+    AuditInvalid = 9,
 }
 
-/// The table for the help text; clap itself ends with 2.
+/// The table for the help text. clap exits with 2.
 pub(crate) const TABLE: &str = "\
 Exit codes:
-  0  done
-  1  another error; the message says what
-  2  wrong command line
+  0  success
+  1  any other error; the message describes it
+  2  invalid command line
   3  faults in settings or service files
-  4  conflict: another change came first, or the id was used before
+  4  conflict: another change came first, or the id was already used
   5  not run: nothing happened, it may be sent again
   6  unknown: it may have happened; resend with the same id or key
-  7  failed: it ran and ended in an error, or was refused for good
-  8  accepted, but not seen in force everywhere in time
+  7  failed: it ran and failed, or was refused permanently
+  8  accepted, but not in force everywhere before the timeout
   9  the audit trail does not verify";
 
 impl From<ExitCode> for ProcessCode {
--- a/crates/mothplank/src/main.rs
+++ b/crates/mothplank/src/main.rs
@@ -1,4 +1,4 @@
-//! The mothplank command: runs the programs and drives them.
+//! The `mothplank` command: runs the server processes and the commands for operators and callers.
 
 mod args;
 mod cli;
--- a/crates/mothplank/src/messages.rs
+++ b/crates/mothplank/src/messages.rs
@@ -1,7 +1,7 @@
-//! The operators' and callers' answers, as docs/PROTOCOLS.md states them.
+//! The JSON bodies of the responses to operators and callers, as specified in docs/PROTOCOLS.md.
 //!
-//! Reading is lenient: keys that a later version adds are passed over, and what an older version
-//! leaves out takes its default, so that an operator's command works across a rolling restart.
+//! Parsing is lenient, so that an operator's commands work during a rolling restart: keys that a
+//! newer release adds are ignored, and keys that an older release lacks get their default.
 
 use std::collections::BTreeMap;
 
@@ -14,19 +14,19 @@
 pub(crate) struct ChangeAnswer {
     /// `accepted`, `conflict`, `reused`, `refused`, `not-run` or `unknown`.
     pub(crate) outcome: String,
-    /// The version: the change's own, or the winner's.
+    /// The version that the change became, or in a conflict the version in force.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) version: Option<u64>,
-    /// The id of the change that won.
+    /// In a conflict, the id of the change that is in force.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) winner: Option<String>,
-    /// Who made it.
+    /// In a conflict, the operator who made that change.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) operator: Option<String>,
-    /// What is wrong with the document.
+    /// The faults of the document.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub(crate) faults: Vec<Fault>,
-    /// Why it did not run.
+    /// The reason why the change did not run.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) detail: Option<String>,
 }
@@ -35,9 +35,9 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct ServiceAnswer {
-    /// Its version; 0 before the first change.
+    /// The version; 0 before the first change.
     pub(crate) version: u64,
-    /// Its document.
+    /// The document.
     pub(crate) document: types::Document,
 }
 
@@ -45,19 +45,19 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct Status {
-    /// The member's VM.
+    /// The VM of the member.
     pub(crate) vm: String,
-    /// The life of its data folder.
+    /// The incarnation of its data folder.
     pub(crate) node: serde_json::Value,
     /// Its role.
     pub(crate) role: String,
     /// Its term.
     pub(crate) term: u64,
-    /// The leader it knows.
+    /// The leader that it knows, if any.
     pub(crate) leader: serde_json::Value,
-    /// The last committed index.
+    /// The last committed log index.
     pub(crate) commit: u64,
-    /// The last applied index.
+    /// The last applied log index.
     pub(crate) applied: u64,
     /// The version of the service.
     pub(crate) version: u64,
@@ -67,26 +67,26 @@
     pub(crate) entries: Vec<EntryStatus>,
     /// The upstreams.
     pub(crate) upstreams: Vec<UpstreamStatus>,
-    /// What is not as it should be, in plain words.
+    /// Descriptions of the problems.
     pub(crate) why: Vec<String>,
 }
 
-/// A member.
+/// The status of a member.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct MemberStatus {
     /// Its VM.
     pub(crate) vm: String,
-    /// The life of its data folder.
+    /// The incarnation of its data folder.
     pub(crate) node: serde_json::Value,
     /// `voter`, `learner` or `spare`.
     pub(crate) kind: String,
-    /// The last index it is known to hold.
+    /// The last log index that it is known to have stored.
     #[serde(rename = "match")]
     pub(crate) matched: Option<u64>,
 }
 
-/// An entry.
+/// The status of an entry.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct EntryStatus {
@@ -94,15 +94,15 @@
     pub(crate) vm: String,
     /// Its site.
     pub(crate) site: String,
-    /// The version it has in force.
+    /// The version that is in force at the entry.
     pub(crate) version: u64,
-    /// Milliseconds since it last asked for a confirmation.
+    /// The time since it last asked for a confirmation, in milliseconds.
     pub(crate) age_ms: Option<u64>,
-    /// What is not as it should be.
+    /// A description of the problem, if there is one.
     pub(crate) why: Option<String>,
 }
 
-/// An upstream.
+/// The status of an upstream.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct UpstreamStatus {
@@ -110,102 +110,102 @@
     pub(crate) upstream: String,
     /// `live` or `leaving`.
     pub(crate) standing: String,
-    /// Calls in flight from all entries.
+    /// The number of calls in flight from all entries.
     pub(crate) in_flight: u64,
-    /// Calls that it reported itself.
+    /// The number of calls that the upstream itself reported.
     pub(crate) reported: Option<u64>,
-    /// What is not as it should be.
+    /// A description of the problem, if there is one.
     pub(crate) why: Option<String>,
 }
 
-/// Use and cost by customer, stage and pool.
+/// Usage and cost by customer, stage and pool.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub(crate) struct Report {
+pub(crate) struct UsageReport {
     /// The rows.
-    pub(crate) rows: Vec<UseRow>,
-    /// Members that gave no rows.
+    pub(crate) rows: Vec<UsageRow>,
+    /// The members that gave no rows.
     pub(crate) unheard: Vec<String>,
 }
 
 /// The answer to `init`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub(crate) struct Started {
+pub(crate) struct InitAnswer {
     /// `started`.
     pub(crate) outcome: String,
-    /// Members that could not be asked whether they belong to a cluster.
+    /// The members that could not be asked whether they belong to a cluster.
     pub(crate) unheard: Vec<String>,
 }
 
-/// One row of a report.
+/// A row of a usage report.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub(crate) struct UseRow {
+pub(crate) struct UsageRow {
     /// The customer.
     pub(crate) customer: String,
     /// The stage.
     pub(crate) stage: String,
     /// The pool.
     pub(crate) pool: String,
-    /// Calls whose result was used.
+    /// The number of calls whose result was used.
     pub(crate) calls: u64,
-    /// Their busy time in microseconds.
+    /// The busy time of these calls, in microseconds.
     pub(crate) busy_us: u64,
-    /// Their tokens.
+    /// The tokens of these calls.
     pub(crate) tokens: u64,
-    /// Busy time of calls whose result was not used, in microseconds.
+    /// The busy time of calls whose result was not used, in microseconds.
     pub(crate) wasted_us: u64,
-    /// The cost of all of it.
+    /// The cost of all calls.
     pub(crate) cost: f64,
 }
 
-/// A complete answer, or a problem; only the keys a caller reads.
+/// A complete answer or a problem document, with the keys that the command uses.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct CallAnswer {
-    /// The request.
+    /// The id of the request.
     pub(crate) request: String,
     /// The outcome.
     pub(crate) outcome: String,
-    /// The last stage's output.
+    /// The output of the last stage.
     pub(crate) output: serde_json::Value,
     /// The time from arrival to the answer, in milliseconds.
     pub(crate) ms: f64,
     /// The cost of all stages.
     pub(crate) cost: f64,
-    /// The stages in their order.
+    /// The stages in order.
     pub(crate) stages: Vec<StageAnswer>,
-    /// Why there is no complete answer.
+    /// A description of why there is no complete answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) detail: Option<String>,
     /// The reason as one word.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) reason: Option<String>,
-    /// How long to wait before the next try, in milliseconds.
+    /// The delay before the next attempt, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) retry_after_ms: Option<u64>,
-    /// Whatever else the answer holds.
+    /// All other keys of the answer.
     #[serde(flatten)]
     pub(crate) rest: BTreeMap<String, serde_json::Value>,
 }
 
-/// One stage of an answer.
+/// The result of one stage.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct StageAnswer {
     /// The stage.
     pub(crate) stage: String,
-    /// The upstream that ran it.
+    /// The upstream that ran the stage.
     pub(crate) upstream: String,
-    /// How many calls it took.
+    /// The number of calls.
     pub(crate) attempts: u64,
-    /// Its time in milliseconds.
+    /// The duration, in milliseconds.
     pub(crate) ms: f64,
-    /// The upstream's busy time in microseconds.
+    /// The busy time of the upstream, in microseconds.
     pub(crate) busy_us: u64,
-    /// Its generated tokens.
+    /// The number of generated tokens.
     pub(crate) tokens: u64,
-    /// Its cost.
+    /// The cost.
     pub(crate) cost: f64,
 }
--- a/crates/mothplank/src/operator.rs
+++ b/crates/mothplank/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's requests to the control members.
+//! Sends an operator's requests to the control members.
 
 use std::time::{Duration, Instant};
 
@@ -8,126 +8,136 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::client::{Answer, Ask, Client, SendError};
+use crate::client::{Client, HttpRequest, HttpResponse, SendError};
 use crate::config::Target;
-use crate::error::Ending;
+use crate::error::ExitError;
 use crate::exit_codes::ExitCode;
 
-/// The pause before the members are tried again.
-const PAUSE: Duration = Duration::from_millis(200);
-/// The longest time for one member's answer; then the next is tried.
-const TRY_TIME: Duration = Duration::from_secs(4);
+/// The pause before the next member is tried.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// The timeout of one member's response, after which the next member is tried.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Whether a request may be sent again although the first may have been received.
+/// Whether a request may be sent again although a member may have received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Resend {
-    /// It carries an id, or changes nothing.
-    Allowed,
-    /// Sent twice it could act twice.
-    Refused,
+pub(crate) enum RetryPolicy {
+    /// Yes: the request carries an id, or changes nothing.
+    Always,
+    /// No: the request could take effect twice.
+    IfNotSent,
 }
 
-/// An operator with its members and token.
+/// A client for the operators' API of the control members.
 #[derive(Debug)]
-pub(crate) struct Operator {
+pub(crate) struct OperatorClient {
     client: Client,
     target: Target,
 }
 
-impl Operator {
-    /// Opens an operator's side.
-    pub(crate) fn open(target: Target) -> Self {
-        Self { client: Client::open(), target }
+impl OperatorClient {
+    /// Creates a client for the members of `target`.
+    pub(crate) fn new(target: Target) -> Self {
+        Self { client: Client::new(), target }
     }
 
-    /// Reads `path`.
+    /// Sends a `GET` request for `path` and parses the response.
     ///
     /// # Errors
-    /// Where no member answers with 200 in time.
+    /// Returns an error if no member answers in time or the status is not 200.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
-        let answer = self.ask(Method::GET, path, Bytes::new(), Resend::Allowed).await?;
-        if answer.status != StatusCode::OK {
-            return Err(refusal(&answer).into());
+        let response = self.send(Method::GET, path, Bytes::new(), RetryPolicy::Always).await?;
+        if response.status != StatusCode::OK {
+            return Err(refusal_error(&response).into());
         }
-        answer.parse()
+        response.parse()
     }
 
-    /// Posts `body` to `path` and returns whatever a member decided.
+    /// Posts `body` to `path` and returns the first response that is not a 503.
     ///
     /// # Errors
-    /// Where no member decides in time: `NotRun` if surely nothing happened, else `Unknown`.
+    /// Returns an error if no member gives such a response in time: with
+    /// [`ExitCode::NotRun`] if certainly nothing happened, otherwise with [`ExitCode::Unknown`].
     pub(crate) async fn post<T: Serialize>(
         &self,
         path: &str,
         body: &T,
-        resend: Resend,
-    ) -> Result<Answer> {
+        retry: RetryPolicy,
+    ) -> Result<HttpResponse> {
         let body = Bytes::from(serde_json::to_vec(body)?);
-        self.ask(Method::POST, path, body, resend).await
+        self.send(Method::POST, path, body, retry).await
     }
 
-    async fn ask(&self, method: Method, path: &str, body: Bytes, resend: Resend) -> Result<Answer> {
-        let end = Instant::now() + self.target.within;
-        let mut lost = false;
-        let mut last = String::from("no member was tried");
+    async fn send(
+        &self,
+        method: Method,
+        path: &str,
+        body: Bytes,
+        retry: RetryPolicy,
+    ) -> Result<HttpResponse> {
+        let deadline = Instant::now() + self.target.timeout;
+        let mut maybe_received = false;
+        let mut last_error = String::from("no member was tried");
         for member in self.target.control.iter().cycle() {
-            let left = end.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 break;
             }
-            let ask = Ask {
+            let request = HttpRequest {
                 method: method.clone(),
                 path: path.to_owned(),
                 bearer: Some(self.target.token.clone()),
                 headers: Vec::new(),
                 body: body.clone(),
-                within: left.min(TRY_TIME),
+                timeout: left.min(ATTEMPT_TIMEOUT),
             };
-            match self.client.send(*member, &ask).await {
-                Ok(answer) if answer.status != StatusCode::SERVICE_UNAVAILABLE => {
-                    return Ok(answer);
+            match self.client.send(*member, &request).await {
+                Ok(response) if response.status != StatusCode::SERVICE_UNAVAILABLE => {
+                    return Ok(response);
                 }
-                Ok(answer) => {
-                    lost |= says_unknown(&answer);
-                    last = format!("{member}: {}", detail(&answer));
+                Ok(response) => {
+                    maybe_received |= has_unknown_outcome(&response);
+                    last_error = format!("{member}: {}", detail(&response));
                 }
                 Err(e) => {
-                    lost |= matches!(e, SendError::Lost(_));
-                    last = format!("{member}: {e}");
+                    maybe_received |= matches!(e, SendError::Lost(_));
+                    last_error = format!("{member}: {e}");
                 }
             }
-            if lost && resend == Resend::Refused {
+            if maybe_received && retry == RetryPolicy::IfNotSent {
                 break;
             }
-            tokio::time::sleep(PAUSE.min(left)).await;
+            tokio::time::sleep(RETRY_PAUSE.min(left)).await;
         }
-        let reading = method == Method::GET;
-        let code = if lost && !reading { ExitCode::Unknown } else { ExitCode::NotRun };
-        Err(eyre!(Ending::new(code, format!("no control member answered {path} ({last})"))))
+        let is_read = method == Method::GET;
+        let code = if maybe_received && !is_read { ExitCode::Unknown } else { ExitCode::NotRun };
+        Err(eyre!(ExitError::new(
+            code,
+            format!("no control member answered {path} ({last_error})")
+        )))
     }
 }
 
-/// Makes an error of an answer that is not the one hoped for.
-pub(crate) fn refusal(answer: &Answer) -> Ending {
-    let code = match answer.status {
+/// Converts the response to a refused request into an error.
+pub(crate) fn refusal_error(response: &HttpResponse) -> ExitError {
+    let code = match response.status {
         StatusCode::CONFLICT => ExitCode::Conflict,
         StatusCode::UNPROCESSABLE_ENTITY => ExitCode::Faults,
         _ => ExitCode::Failed,
     };
-    Ending::new(code, format!("refused with status {}: {}", answer.status, detail(answer)))
+    ExitError::new(code, format!("refused with status {}: {}", response.status, detail(response)))
 }
 
-fn says_unknown(answer: &Answer) -> bool {
-    let body: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+fn has_unknown_outcome(response: &HttpResponse) -> bool {
+    let body: serde_json::Value = serde_json::from_slice(&response.body).unwrap_or_default();
     body["outcome"] == "unknown"
 }
 
-fn detail(answer: &Answer) -> String {
-    const LONGEST: usize = 400;
-    let body: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+fn detail(response: &HttpResponse) -> String {
+    const MAX_CHARS: usize = 400;
+    let body: serde_json::Value = serde_json::from_slice(&response.body).unwrap_or_default();
     if let Some(detail) = body["detail"].as_str() {
         return detail.to_owned();
     }
-    let text = String::from_utf8_lossy(&answer.body);
-    text.chars().take(LONGEST).collect()
+    let text = String::from_utf8_lossy(&response.body);
+    text.chars().take(MAX_CHARS).collect()
 }
--- a/crates/mothplank/src/output.rs
+++ b/crates/mothplank/src/output.rs
@@ -1,24 +1,24 @@
-//! What commands print on standard output: text for people or JSON for programs.
+//! Prints the results of commands: text for humans or JSON for programs.
 
 use std::io::Write;
 
 use eyre::Result;
 use serde::Serialize;
 
-/// The form of the output.
+/// The output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Format {
-    /// Text for people.
+    /// Text for humans.
     Human,
-    /// One JSON value a command; one a line where a command prints several.
+    /// JSON, one value on each line.
     Json,
 }
 
 impl Format {
-    /// Prints `value` as JSON, or `text` for people.
+    /// Prints `value` as JSON, or `text` for humans.
     ///
     /// # Errors
-    /// Where standard output cannot be written.
+    /// Returns an error if standard output cannot be written.
     pub(crate) fn print<T: Serialize>(
         self,
         value: &T,
@@ -35,7 +35,7 @@
 /// Writes a line to standard output.
 ///
 /// # Errors
-/// Where standard output cannot be written.
+/// Returns an error if standard output cannot be written.
 pub(crate) fn write_line(line: &str) -> Result<()> {
     let mut out = std::io::stdout().lock();
     writeln!(out, "{line}")?;
@@ -43,9 +43,9 @@
     Ok(())
 }
 
-/// Writes a line that is meant for people while a command goes on; it goes to standard error, so
-/// that standard output stays readable by programs.
+/// Writes a progress message for humans to standard error, so that standard output contains only
+/// the result.
 pub(crate) fn note(line: &str) {
-    // Standard error may be closed; the command's result does not depend on it.
+    // The result of the command does not depend on whether standard error is open.
     let _ = writeln!(std::io::stderr(), "{line}");
 }
--- a/crates/mothplank/src/table.rs
+++ b/crates/mothplank/src/table.rs
@@ -1,13 +1,13 @@
-//! Plain tables for people.
+//! Text tables for humans.
 
-/// Rows of cells under a heading; columns are as wide as their widest cell.
+/// Rows of cells under a heading; each column is as wide as its widest cell.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Starts a table with its heading.
+    /// Creates a table with a heading.
     pub(crate) fn with_heading(cells: &[&str]) -> Self {
         let mut table = Self::default();
         table.add(cells.iter().map(ToString::to_string).collect());
@@ -19,7 +19,7 @@
         self.rows.push(cells);
     }
 
-    /// Formats the table; cells that hold a number are aligned to the right.
+    /// Formats the table; columns of numbers are aligned to the right.
     pub(crate) fn format(&self) -> String {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let width = |i: usize| {
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -101,11 +101,11 @@
 }
 
 fn shorten(text: &str) -> String {
-    const LONGEST: usize = 40;
-    if text.chars().count() <= LONGEST {
+    const MAX_CHARS: usize = 40;
+    if text.chars().count() <= MAX_CHARS {
         return text.to_owned();
     }
-    text.chars().take(LONGEST).chain("...".chars()).collect()
+    text.chars().take(MAX_CHARS).chain("...".chars()).collect()
 }
 
 fn options() -> ParseOptions {
