--- a/crates/mothplank/tests/check.rs
+++ b/crates/mothplank/tests/check.rs
@@ -1,4 +1,4 @@
-//! `mothplank check` names every fault with its line, and its exit code says so.
+//! `mothplank check`: reports every fault with its line, and exits with a code of its own.
 
 use std::process::Output;
 
--- a/crates/mothplank/tests/demo.rs
+++ b/crates/mothplank/tests/demo.rs
@@ -1,4 +1,4 @@
-//! `mothplank demo`: the first command a newcomer runs.
+//! `mothplank demo`, the first command that the README names.
 
 mod env;
 
@@ -6,11 +6,10 @@
 
 use serde_json::Value;
 
-/// Symptom: the first command on the page, `cargo run --release -- demo`, ends with `cargo run could not
-/// determine which binary to run`, so no newcomer gets past it.
-/// Sequence: a second program is added to the workspace.
-/// Cause: the workspace doesn't say which of its packages are meant where a command names none; tests run
-/// the binary by its path and can't see it.
+/// Guards against the first command of the README, `cargo run --release -- demo`, failing with
+/// `cargo run could not determine which binary to run` after a second program was added to a
+/// workspace that does not set its default members. The other tests run the binary by its path and
+/// cannot notice this.
 #[test]
 fn a_newcomers_first_command_names_one_program() {
     let page = include_str!("../../../README.md");
--- a/crates/mothplank/tests/docs.rs
+++ b/crates/mothplank/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The operating page names every key of the settings, every command and every metric.
+//! The operating page explains every settings key and every metric.
 
 mod env;
 
--- a/crates/mothplank/tests/end_to_end.rs
+++ b/crates/mothplank/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path as separate processes: callers, entries, a control member, stand-ins.
+//! End-to-end tests with separate processes: entries, a control member, stand-ins for upstreams.
 
 mod env;
 
@@ -8,7 +8,7 @@
 use env::{Plan, Signal, TestEnv, wait_until};
 use serde_json::{Value, json};
 
-/// The stages of the pipeline `appraise`, in their order.
+/// The stages of the pipeline `appraise`, in order.
 const STAGES: [&str; 4] = ["encode", "retrieve", "rerank", "generate"];
 
 #[test]
@@ -65,11 +65,9 @@
     assert_eq!((reply.status, reply.outcome().as_str()), (401, "not-run"), "{}", reply.text());
 }
 
-// Symptom: callers of an entry that dies have no answer.
-// Sequence: callers send appraisals to both entries; one entry is killed by SIGKILL midway;
-// callers whose connection broke, or was refused, resend to the other entry.
-// Cause looked for: state of a request that only the dead entry had, such as places in upstream
-// queues or limits, keeps the resends from completing.
+/// Guards against repeatable requests that get no answer after an entry is killed: callers whose
+/// connection broke resend to the other entry, and state that only the dead entry had, such as
+/// places in upstream queues or in limits, must not keep the resends from completing.
 #[test]
 fn an_entry_killed_under_load_loses_no_repeatable_request() {
     const CALLERS: usize = 8;
@@ -125,9 +123,9 @@
     rustix::process::kill_process(id, Signal::KILL).unwrap();
 }
 
-// Symptom: a caller's connection breaks when an operator restarts an entry.
-// Sequence: a request is under way; SIGTERM, and a second one, as an impatient supervisor sends.
-// Cause looked for: the second signal meets its default action and ends the process.
+/// Guards against connections that break when an entry is restarted: a supervisor sends SIGTERM
+/// twice while a request is in flight, and the second signal must not kill the process by its
+/// default action.
 #[test]
 fn a_drain_cuts_nothing_even_if_signalled_twice() {
     let mut env = TestEnv::start(Plan { entries: 1, ..Plan::default() });
--- a/crates/mothplank/tests/env/document.rs
+++ b/crates/mothplank/tests/env/document.rs
@@ -1,4 +1,4 @@
-//! The service that tests apply.
+//! The service's document that tests apply.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -12,10 +12,10 @@
 /// The key of the customer `yards`.
 pub const CUSTOMER_KEY: &str = "key-of-the-yards";
 
-/// How many stand-ins each pool has.
+/// The number of stand-ins in each pool.
 pub const REPLICAS: usize = 2;
 
-/// The pools with their kinds and the arguments of their stand-ins.
+/// The pools: name, kind, and arguments of the stand-ins.
 pub const STANDINS: [(&str, &str, &[&str]); 5] = [
     ("encoders", "encode", &["stage", "--time-us", "1000", "--capacity", "16"]),
     ("retrievers", "retrieve", &["stage", "--time-us", "1000", "--capacity", "16"]),
@@ -28,11 +28,11 @@
     ("stock", "service", &["service", "--time-us", "1000", "--capacity", "16"]),
 ];
 
-/// A base file with overlays by site, as values that tests may change.
+/// A base file with overlays by site, as JSON values that tests may change.
 ///
-/// The default has the sites of [`SITES`], the pipelines `appraise` (encode, retrieve, rerank,
+/// The default has the sites [`SITES`], the pipelines `appraise` (encode, retrieve, rerank,
 /// generate; all repeatable), `encode` (one stage) and `note` (encode, rerank, and a stock note
-/// that is not repeatable), and the customer `yards`, who may use them all.
+/// that is not repeatable), and the customer `yards`, who may use all pipelines.
 #[derive(Clone, Debug)]
 pub struct Document {
     /// The base file.
@@ -76,7 +76,7 @@
 }
 
 impl Document {
-    /// Adds an upstream, and its pool where it is the first.
+    /// Adds an upstream, and its pool if it does not exist yet.
     pub fn upstream(&mut self, pool: &str, kind: &str, name: &str, address: SocketAddr) {
         let mut upstream = json!({
             "address": address, "site": SITES[0], "vm": format!("vm-{name}"), "capacity": 16,
@@ -93,7 +93,8 @@
         pool["upstreams"][name] = upstream;
     }
 
-    /// Writes the files and returns the base and, where there are overlays, their folder.
+    /// Writes the files. Returns the path of the base file, and the folder of the overlays if there
+    /// are any.
     pub fn write(&self, folder: &Path) -> (PathBuf, Option<PathBuf>) {
         let sites = folder.join("sites");
         let _ = fs::remove_dir_all(&sites);
--- a/crates/mothplank/tests/env/http.rs
+++ b/crates/mothplank/tests/env/http.rs
@@ -15,10 +15,10 @@
 
 use super::{CUSTOMER_KEY, OPERATOR_TOKEN};
 
-/// How long an exchange may take.
-const WITHIN: Duration = Duration::from_secs(30);
+/// The timeout of an exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// The status.
@@ -29,16 +29,16 @@
     pub body: Bytes,
 }
 
-/// Why there is no whole answer.
+/// The reason why there is no complete response.
 #[derive(Clone, Debug)]
 pub enum HttpError {
-    /// No byte of the request reached the other side.
+    /// The server has received nothing of the request.
     NotSent(String),
-    /// The request may have been received.
+    /// The server may have received the request.
     Lost(String),
 }
 
-/// The client.
+/// A blocking HTTP client.
 #[derive(Clone, Debug)]
 pub struct Http {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -51,24 +51,24 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// Returns the body as JSON; null where it is none.
+    /// Returns the body as JSON; null if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// Returns the header `name`, or an empty text.
+    /// Returns the header `name`, or an empty text if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|it| it.to_str().ok()).unwrap_or_default()
     }
 
-    /// Returns the outcome of a call.
+    /// Returns the key `outcome` of the body.
     pub fn outcome(&self) -> String {
         self.json()["outcome"].as_str().unwrap_or_default().to_owned()
     }
 }
 
 impl Http {
-    /// Opens a client that keeps no idle connections.
+    /// Creates a client that keeps no idle connections.
     pub fn open(runtime: Handle) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -80,7 +80,7 @@
         Self { client, runtime }
     }
 
-    /// Sends one request and reads the whole answer.
+    /// Sends one request and reads the complete response.
     pub fn send(
         &self,
         to: SocketAddr,
@@ -104,11 +104,11 @@
             let status = parts.status.as_u16();
             Ok(Reply { status, headers: parts.headers, body: body.to_bytes() })
         };
-        let limited = async { timeout(WITHIN, exchange).await };
+        let limited = async { timeout(EXCHANGE_TIMEOUT, exchange).await };
         self.runtime.block_on(limited).unwrap_or_else(|_| Err(HttpError::Lost("timeout".into())))
     }
 
-    /// Reads a page.
+    /// Sends a `GET` request.
     pub fn get(&self, to: SocketAddr, path: &str) -> Result<Reply, HttpError> {
         self.send(to, "GET", path, &[], "")
     }
@@ -128,7 +128,7 @@
         self.send(to, "POST", &path, &headers, body.to_string())
     }
 
-    /// Sends a request as the operator `ines`; a null body is none.
+    /// Sends a request as the operator `ines`; null means no body.
     pub fn operator(
         &self,
         to: SocketAddr,
@@ -142,14 +142,14 @@
         self.send(to, method, path, &headers, body)
     }
 
-    /// Sets the faults of a stand-in, as `standins::faults::Faults` names them.
+    /// Sets the faults of a stand-in, in the JSON form of `standins::faults::Faults`.
     pub fn faults(&self, standin: SocketAddr, faults: &Value) {
         let headers = [("content-type", "application/json")];
         let reply = self.send(standin, "POST", "/faults", &headers, faults.to_string()).unwrap();
         assert!(reply.status < 300, "faults: {}", reply.text());
     }
 
-    /// Reads the counts of a stand-in.
+    /// Returns the counters of a stand-in.
     pub fn counts(&self, standin: SocketAddr) -> Value {
         self.get(standin, "/counts").map(|it| it.json()).unwrap_or_else(|_| json!(null))
     }
--- a/crates/mothplank/tests/env/mod.rs
+++ b/crates/mothplank/tests/env/mod.rs
@@ -1,4 +1,4 @@
-//! The environment of the integration tests: real processes of the real binary on loopback.
+//! The environment of the integration tests: processes of the actual binary on loopback.
 //!
 //! ```no_run
 //! let mut env = TestEnv::start(Plan { controls: 3, entries: 2, ..Plan::default() });
@@ -6,12 +6,12 @@
 //! assert_eq!(reply.outcome(), "complete");
 //! ```
 //!
-//! Each environment has its own loopback address, and its ports are reserved, so that two tests never
-//! meet. Waits are on conditions ([`wait_until`]), never on time alone. Every process is
-//! killed by its id when the environment is dropped; after a failed test the tails of their logs
-//! are printed.
+//! Each environment has its own loopback address and reserved ports, so that tests do not interfere
+//! with each other. Tests wait for conditions ([`wait_until`]), never only for time to pass. All
+//! processes are killed by their ids when the environment is dropped; after a failed test the last
+//! lines of their logs are printed.
 
-// Each test file takes in the whole environment and uses a part of it.
+// Each test file includes the whole environment and uses a part of it.
 #![allow(dead_code, unreachable_pub, unused_imports)]
 
 mod document;
@@ -34,28 +34,28 @@
 pub use nodes::{OPERATOR_TOKEN, OPERATORS, SECRET, SITES};
 pub use process::{Process, Signal, command};
 
-/// How long a condition may take to come true before the test fails. Generous, for it is reached
-/// only by a fault or a machine that stands still.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// The time after which a test fails because a condition is still not true. It is long, because
+/// only a fault or a machine that hangs should reach it.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What an environment consists of.
+/// The parts of an environment.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Control members that are voters from the start, on `vm-1` and on.
+    /// The number of control members that are voters from the start, on `vm-1` and following.
     pub controls: usize,
-    /// Further VMs that may become members.
+    /// The number of further VMs that may become members.
     pub spares: usize,
-    /// Entries, on `vm-1` and on.
+    /// The number of entries, on `vm-1` and following.
     pub entries: usize,
-    /// Whether connections between members, and from entries to members, go through proxies that
-    /// [`TestEnv::link`] gives. UDP is then lost between them.
+    /// Whether connections between members, and from entries to members, go through proxies, which
+    /// [`TestEnv::link`] returns. UDP between them is then lost.
     pub proxied: bool,
-    /// How long an entry keeps serving after SIGTERM while the balancer notices, in ms.
+    /// How long an entry keeps serving after SIGTERM until the balancer notices, in milliseconds.
     pub notice: u64,
-    /// The size of a member's log in bytes at which a snapshot replaces it; the settings' default
-    /// where none is given.
+    /// The log size, in bytes, at which a member compacts its log into a snapshot; `None` for the
+    /// default of the settings.
     pub log_size: Option<u64>,
-    /// The log level of control and entries; `MOTHPLANK_TEST_LOG` sets the default.
+    /// The log level of members and entries; `MOTHPLANK_TEST_LOG` sets the default.
     pub log: String,
 }
 
@@ -69,15 +69,15 @@
 
 /// A running environment.
 pub struct TestEnv {
-    /// What it was planned as.
+    /// The plan of the environment.
     pub plan: Plan,
-    /// An HTTP client for blocking use; cheap to clone and to use from many threads.
+    /// A blocking HTTP client, cheap to clone and usable from many threads.
     pub http: Http,
-    /// The document that [`TestEnv::start`] applied; change it and apply it again.
+    /// The document that [`TestEnv::start`] applied; tests may change it and apply it again.
     pub document: Document,
-    /// The runtime for stand-ins and proxies inside the test's own process.
+    /// The runtime for stand-ins and proxies in the test process.
     pub runtime: tokio::runtime::Runtime,
-    /// The ports of this environment's own loopback address.
+    /// The ports of the environment's loopback address.
     pub ports: Ports,
     nodes: nodes::Nodes,
     links: BTreeMap<(usize, usize), Proxy>,
@@ -87,7 +87,7 @@
 }
 
 impl TestEnv {
-    /// Opens an environment in which nothing runs yet: addresses, settings files and proxies.
+    /// Creates an environment without processes: addresses, settings files and proxies.
     pub fn open(plan: Plan) -> Self {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
@@ -114,15 +114,15 @@
         env
     }
 
-    /// Starts everything: members, `init`, entries, stand-ins; applies the default document and
-    /// waits until every entry is ready.
+    /// Creates an environment, starts all its processes, creates the cluster, applies the default
+    /// document and waits until every entry is ready.
     pub fn start(plan: Plan) -> Self {
         let mut env = Self::open(plan);
-        env.standins();
-        env.controls();
+        env.start_standins();
+        env.start_controls();
         env.init();
         for n in 1..=env.plan.entries {
-            env.entry(n);
+            env.start_entry(n);
         }
         let document = env.document.clone();
         env.apply(&document);
@@ -133,43 +133,43 @@
         env
     }
 
-    /// Starts every planned control member and waits until each is live.
-    pub fn controls(&mut self) {
+    /// Starts all planned control members and waits until each is live.
+    pub fn start_controls(&mut self) {
         for n in 1..=self.plan.controls {
-            self.control(n);
+            self.start_control(n);
         }
         for n in 1..=self.plan.controls {
             self.wait_started(&format!("control-{n}"), self.control_address(n));
         }
     }
 
-    /// Waits until a process that was started answers; one that has ended is told at once.
+    /// Waits until a started process answers; fails at once if the process has exited.
     fn wait_started(&mut self, name: &str, address: SocketAddr) {
         wait_until(&format!("{name} to be live at {address}"), || {
-            assert!(!self.process(name).ended(), "{name} ended at its start");
+            assert!(!self.process(name).has_ended(), "{name} ended at its start");
             self.http.get(address, "/livez").is_ok_and(|it| it.status == 200)
         });
     }
 
-    /// Starts control member `n`, from 1; spares follow the voters.
-    pub fn control(&mut self, n: usize) -> &mut Process {
+    /// Starts control member `n`, counted from 1; spares follow the voters.
+    pub fn start_control(&mut self, n: usize) -> &mut Process {
         let settings = self.nodes.file(n);
-        self.spawn(&format!("control-{n}"), &["control", "--settings", text(&settings)])
+        self.spawn(&format!("control-{n}"), &["control", "--settings", path_text(&settings)])
     }
 
-    /// Starts entry `n`, from 1.
-    pub fn entry(&mut self, n: usize) -> &mut Process {
+    /// Starts entry `n`, counted from 1.
+    pub fn start_entry(&mut self, n: usize) -> &mut Process {
         let settings = self.nodes.file(n);
-        self.spawn(&format!("entry-{n}"), &["entry", "--settings", text(&settings)])
+        self.spawn(&format!("entry-{n}"), &["entry", "--settings", path_text(&settings)])
     }
 
-    /// Starts a cluster with the voters.
+    /// Creates the cluster.
     pub fn init(&self) {
         self.run_ok(&["init", "--within-ms", "60000"]);
     }
 
-    /// Starts one stand-in as a process and returns its address.
-    pub fn standin(&mut self, name: &str, args: &[&str]) -> SocketAddr {
+    /// Starts a stand-in as a process and returns its address.
+    pub fn start_standin(&mut self, name: &str, args: &[&str]) -> SocketAddr {
         let listen = self.ports.free().to_string();
         let args = [&["standin"], args, &["--listen", &listen]].concat();
         let process = self.spawn(name, &args);
@@ -180,13 +180,13 @@
         address
     }
 
-    /// Starts the default stand-ins, each a process, and names them in `document`: two encoders,
+    /// Starts the default stand-ins, each as a process, and adds them to `document`: two encoders,
     /// two retrievers, two rerankers, two engines and two plain services.
-    pub fn standins(&mut self) {
+    pub fn start_standins(&mut self) {
         for (pool, kind, args) in document::STANDINS {
             for i in 1..=document::REPLICAS {
                 let name = format!("{pool}-{i}");
-                let address = self.standin(&name, args);
+                let address = self.start_standin(&name, args);
                 self.document.upstream(pool, kind, &name, address);
             }
         }
@@ -196,9 +196,9 @@
     pub fn apply(&self, document: &Document) -> u64 {
         let mut args = vec!["apply"];
         let (base, overlays) = document.write(&self.folder.path().join("service"));
-        args.push(text(&base));
+        args.push(path_text(&base));
         if let Some(overlays) = &overlays {
-            args.extend(["--overlays", text(overlays)]);
+            args.extend(["--overlays", path_text(overlays)]);
         }
         args.extend(["--wait", "--wait-ms", "60000", "--within-ms", "60000"]);
         let answer = self.run_ok(&args);
@@ -206,18 +206,18 @@
         answer["version"].as_u64().unwrap()
     }
 
-    /// Sends one request to entry `n` and returns whatever comes; never resends.
+    /// Sends one request to entry `n` and returns the response, whatever it is; never resends.
     ///
     /// # Panics
-    /// Where there is no whole answer; [`Http::call`] returns that as an error.
+    /// Panics if there is no complete response, for which [`Http::call`] returns an error.
     pub fn call(&self, n: usize, pipeline: &str, input: Value, headers: &[(&str, &str)]) -> Reply {
         let reply =
             self.http.call(self.entry_address(n), pipeline, &json!({"input": input}), headers);
         reply.unwrap_or_else(|e| panic!("call at entry {n}: {e:?}"))
     }
 
-    /// Runs an operator's command to its end; returns its exit code and its standard output as
-    /// JSON. Standard error goes to the test's own.
+    /// Runs a command and returns its exit code and its standard output as JSON. Standard error is
+    /// copied to the standard error of the test.
     pub fn run(&self, args: &[&str]) -> (i32, Value) {
         let members: Vec<String> =
             (1..=self.plan.controls).map(|n| self.control_address(n).to_string()).collect();
@@ -236,54 +236,54 @@
         (output.status.code().unwrap_or(-1), value)
     }
 
-    /// Runs an operator's command that must succeed.
+    /// Runs a command that must succeed.
     pub fn run_ok(&self, args: &[&str]) -> Value {
         let (code, value) = self.run(args);
         assert_eq!(code, 0, "{args:?} ended with {code}: {value}");
         value
     }
 
-    /// Returns the process of that name: `control-1`, `entry-2`, `engines-1`.
+    /// Returns the process with this name, such as `control-1`, `entry-2` or `engines-1`.
     pub fn process(&mut self, name: &str) -> &mut Process {
         self.processes.get_mut(name).unwrap_or_else(|| panic!("no process {name}"))
     }
 
-    /// Returns the id of the process of that name.
+    /// Returns the id of the process with this name.
     pub fn process_id(&self, name: &str) -> u32 {
         self.processes[name].id()
     }
 
-    /// Returns where the stand-in of that name listens.
+    /// Returns the address of the stand-in with this name.
     pub fn standin_address(&self, name: &str) -> SocketAddr {
         self.standins[name]
     }
 
-    /// Sends a signal to the process of that name.
+    /// Sends a signal to the process with this name.
     pub fn signal(&mut self, name: &str, signal: Signal) {
         self.process(name).signal(signal);
     }
 
-    /// Kills the process of that name and waits for its end; it may be started again.
+    /// Kills the process with this name and waits until it has exited; it may be started again.
     pub fn kill(&mut self, name: &str) {
         self.process(name).kill();
     }
 
-    /// Starts a proxy to `target` in the test's own process.
-    pub fn proxy(&self, target: SocketAddr) -> Proxy {
+    /// Starts a proxy to `target` in the test process.
+    pub fn start_proxy(&self, target: SocketAddr) -> Proxy {
         self.runtime.block_on(proxy::spawn(proxy::Config::to(target))).unwrap()
     }
 
-    /// Returns the proxy that VM `from` uses to reach member `to`; [`Plan::proxied`] only.
+    /// Returns the proxy that VM `from` uses to reach member `to`; only with [`Plan::proxied`].
     pub fn link(&self, from: usize, to: usize) -> &Proxy {
         &self.links[&(from, to)]
     }
 
-    /// Returns where callers reach entry `n`.
+    /// Returns the address of entry `n` for callers.
     pub fn entry_address(&self, n: usize) -> SocketAddr {
         self.nodes.node(n).entry
     }
 
-    /// Returns where operators reach control member `n`.
+    /// Returns the address of control member `n` for operators.
     pub fn control_address(&self, n: usize) -> SocketAddr {
         self.nodes.node(n).http
     }
@@ -298,22 +298,21 @@
         self.nodes.file(n)
     }
 
-    /// Returns the status as member `n` alone sees it, or `None` where it does not answer.
+    /// Returns the status as reported by member `n`, or `None` if it does not answer.
     pub fn status(&self, n: usize) -> Option<Value> {
         let reply = self.http.operator(self.control_address(n), "GET", "/v1/status", &Value::Null);
         reply.ok().filter(|it| it.status == 200).map(|it| it.json())
     }
 
-    /// Returns the number of the member that leads, as it says itself, once there is one among
-    /// `members`.
+    /// Waits until one of `members` reports that it is the leader, and returns its number.
     pub fn wait_leader(&self, members: &[usize]) -> usize {
         let leads = |n: &usize| self.status(*n).is_some_and(|it| it["role"] == "leader");
         wait_for("a leader", || members.iter().copied().find(leads))
     }
 
-    /// Waits until the member that leads has so many voters, and no learner. A cluster starts with
-    /// one voter and takes in the others one by one: a test that kills members earlier would find
-    /// a quorum of fewer.
+    /// Waits until the leader has `count` voters and no learner. A cluster starts with one voter
+    /// and adds the others one by one, so a test that kills members earlier would meet a smaller
+    /// quorum.
     pub fn wait_voters(&self, count: usize) {
         let all: Vec<usize> = (1..=self.plan.controls + self.plan.spares).collect();
         let kinds = |status: &Value, kind: &str| {
@@ -327,7 +326,7 @@
         });
     }
 
-    /// Lets members reach one another again after cuts between `one` and `others`.
+    /// Heals the links between `one` and `others` in both directions.
     pub fn heal(&self, one: usize, others: &[usize]) {
         for other in others {
             self.link(one, *other).heal();
@@ -351,10 +350,10 @@
         });
     }
 
-    /// Starts the binary as a process of that name.
+    /// Starts the binary as a process with this name.
     pub fn spawn(&mut self, name: &str, args: &[&str]) -> &mut Process {
         let old = self.processes.remove(name);
-        assert!(old.is_none_or(|mut it| it.ended()), "{name} runs already");
+        assert!(old.is_none_or(|mut it| it.has_ended()), "{name} runs already");
         let process = Process::spawn(name, args, self.folder.path());
         self.processes.entry(name.to_owned()).or_insert(process)
     }
@@ -364,36 +363,36 @@
             return;
         }
         for (from, to, target) in self.nodes.pairs() {
-            let link = self.proxy(target);
+            let link = self.start_proxy(target);
             self.links.insert((from, to), link);
         }
     }
 }
 
-/// Waits until the condition holds.
+/// Waits until the condition is true.
 ///
 /// # Panics
-/// Where it does not within [`PATIENCE`].
+/// Panics if it does not become true within [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     wait_for(what, || condition().then_some(()));
 }
 
-/// Waits until the condition gives a value.
+/// Waits until the condition returns a value.
 ///
 /// # Panics
-/// Where it does not within [`PATIENCE`].
+/// Panics if it returns none within [`WAIT_TIMEOUT`].
 pub fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
     const PAUSE: Duration = Duration::from_millis(10);
-    let end = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = condition() {
             return value;
         }
-        assert!(Instant::now() < end, "waited in vain for: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::sleep(PAUSE);
     }
 }
 
-fn text(path: &Path) -> &str {
+fn path_text(path: &Path) -> &str {
     path.to_str().unwrap()
 }
--- a/crates/mothplank/tests/env/nodes.rs
+++ b/crates/mothplank/tests/env/nodes.rs
@@ -15,7 +15,7 @@
 /// The token of the operator `ines`.
 pub const OPERATOR_TOKEN: &str = "token-of-ines";
 
-/// All operators with their tokens; `ines` is the first.
+/// All operators with their tokens, beginning with `ines`.
 pub const OPERATORS: [(&str, &str); 5] = [
     ("ines", OPERATOR_TOKEN),
     ("karel", "token-of-karel"),
@@ -24,26 +24,26 @@
     ("zora", "token-of-zora"),
 ];
 
-/// What the processes prove to each other.
+/// The shared secret of the cluster.
 pub const SECRET: &str = "the secret of the tests";
 
-/// The sites; VM `n` lies in the `(n - 1) % 3`rd.
+/// The sites; VM `n` is in the site with index `(n - 1) % 3`.
 pub const SITES: [&str; 3] = ["north", "south", "east"];
 
 /// One VM.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Its wire address.
+    /// The address for members and entries.
     pub wire: SocketAddr,
-    /// Its operators' address.
+    /// The address for operators.
     pub http: SocketAddr,
-    /// Its callers' address.
+    /// The address of its entry for callers.
     pub entry: SocketAddr,
-    /// Its data folder.
+    /// The data folder of its control member.
     pub data: PathBuf,
 }
 
-/// All VMs, from number 1.
+/// All VMs, numbered from 1.
 #[derive(Clone, Debug)]
 pub struct Nodes {
     plan: Plan,
@@ -52,7 +52,7 @@
 }
 
 impl Nodes {
-    /// Gives every VM its addresses.
+    /// Assigns addresses to all VMs of a plan.
     pub fn plan(plan: &Plan, ports: &Ports, folder: &Path) -> Self {
         let count = (plan.controls + plan.spares).max(plan.entries);
         let node = |n: usize| Node {
@@ -75,7 +75,8 @@
         self.folder.join(format!("vm-{n}.jsonc"))
     }
 
-    /// Returns every pair of a VM and another's or its own member, with the member's address.
+    /// Returns all pairs of a VM and a member, including the member on the same VM, with the
+    /// address of the member.
     pub fn pairs(&self) -> Vec<(usize, usize, SocketAddr)> {
         let members = self.plan.controls + self.plan.spares;
         let froms = 1..=self.nodes.len();
@@ -85,8 +86,8 @@
             .collect()
     }
 
-    /// Writes every settings file. A VM reaches members through its links, where it has some, and
-    /// listens itself on its own address.
+    /// Writes all settings files. A VM reaches the other members through its links, if it has any,
+    /// and its own member listens on the address of the VM.
     pub fn write(&self, links: &BTreeMap<(usize, usize), Proxy>) {
         for n in 1..=self.nodes.len() {
             let text = serde_json::to_string_pretty(&self.settings(n, links)).unwrap();
@@ -129,7 +130,7 @@
     SITES[(n - 1) % SITES.len()]
 }
 
-/// Returns the SHA-256 of a secret, as settings hold it.
+/// Returns the SHA-256 of a secret in the form that the settings require.
 pub fn hash(secret: &str) -> String {
     Sha256::digest(secret).iter().map(|it| format!("{it:02x}")).collect()
 }
--- a/crates/mothplank/tests/env/process.rs
+++ b/crates/mothplank/tests/env/process.rs
@@ -1,4 +1,4 @@
-//! One process of the binary.
+//! A process of the binary under test.
 
 use std::fs::{self, File};
 use std::io::{BufRead, BufReader};
@@ -12,21 +12,21 @@
 
 pub use rustix::process::Signal;
 
-/// The lines of a log that are printed after a failure.
-const TAIL: usize = 30;
+/// The number of log lines that are printed after a failure.
+const TAIL_LINES: usize = 30;
 
-/// A process; it is killed when dropped.
+/// A process, which is killed on drop.
 #[derive(Debug)]
 pub struct Process {
     name: String,
     child: Child,
-    /// Names this start alone, also once its number is given to another process.
+    /// Refers to this process even if its id is reused by another process.
     handle: OwnedFd,
     log: PathBuf,
     ended: Option<ExitStatus>,
 }
 
-/// Makes a command of the binary under test.
+/// Returns a command that runs the binary under test.
 pub fn command(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mothplank"));
     command.args(args).stdin(Stdio::null()).env("RUST_BACKTRACE", "1");
@@ -34,7 +34,7 @@
 }
 
 impl Process {
-    /// Starts the binary; its log is appended to `NAME.log` in `folder`.
+    /// Starts the binary and appends its log to `NAME.log` in `folder`.
     pub fn spawn(name: &str, args: &[&str], folder: &Path) -> Self {
         let log = folder.join(format!("{name}.log"));
         let file = File::options().create(true).append(true).open(&log).unwrap();
@@ -46,7 +46,7 @@
     /// Reads the first line of its standard output.
     ///
     /// # Panics
-    /// Where it ends without one.
+    /// Panics if the process exits without printing a line.
     pub fn first_line(&mut self) -> String {
         let mut line = String::new();
         let stdout = self.child.stdout.take().unwrap();
@@ -60,36 +60,36 @@
         self.child.id()
     }
 
-    /// Sends it a signal, unless it has ended.
+    /// Sends it a signal, unless it has exited.
     pub fn signal(&mut self, signal: Signal) {
-        if !self.ended() {
+        if !self.has_ended() {
             eprintln!("{} (process {}) is sent {signal:?}", self.name, self.id());
             pidfd_send_signal(&self.handle, signal).unwrap();
         }
     }
 
-    /// Kills it and waits for its end.
+    /// Kills it and waits until it has exited.
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
         self.ended = Some(self.child.wait().unwrap());
     }
 
-    /// Tells whether it has ended.
-    pub fn ended(&mut self) -> bool {
+    /// Returns whether it has exited.
+    pub fn has_ended(&mut self) -> bool {
         if self.ended.is_none() {
             self.ended = self.child.try_wait().unwrap();
         }
         self.ended.is_some()
     }
 
-    /// Waits for its end and returns its exit code; `None` where a signal ended it.
+    /// Waits until it exits and returns its exit code; `None` if a signal killed it.
     pub fn wait_end(&mut self) -> Option<i32> {
         let name = format!("the end of {}", self.name);
-        wait_for(&name, || self.ended().then_some(()));
+        wait_for(&name, || self.has_ended().then_some(()));
         self.ended.and_then(|it| it.code())
     }
 
-    /// Returns its whole log.
+    /// Returns its complete log.
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -97,15 +97,15 @@
     fn tail(&self) -> String {
         let log = self.log();
         let lines: Vec<&str> = log.lines().collect();
-        lines[lines.len().saturating_sub(TAIL)..].join("\n")
+        lines[lines.len().saturating_sub(TAIL_LINES)..].join("\n")
     }
 }
 
 impl Process {
-    /// Tells how it ended, or what each of its threads waits for: a process that writes no line can't be
-    /// explained by its log.
-    fn state(&mut self) -> String {
-        if self.ended() {
+    /// Describes how it exited, or what each of its threads waits for. This helps with a process
+    /// that has written nothing to its log.
+    fn describe_state(&mut self) -> String {
+        if self.has_ended() {
             return format!("ended: {:?}", self.ended);
         }
         let Ok(threads) = fs::read_dir(format!("/proc/{}/task", self.id())) else {
@@ -125,10 +125,10 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            let state = self.state();
+            let state = self.describe_state();
             eprintln!("---- the state of {}:\n{state}", self.name);
         }
-        // A stopped process takes SIGKILL too.
+        // SIGKILL also kills a stopped process.
         self.kill();
         if std::thread::panicking() {
             eprintln!("---- the last lines of {}:\n{}", self.name, self.tail());
--- a/crates/mothplank/tests/env_proxied.rs
+++ b/crates/mothplank/tests/env_proxied.rs
@@ -1,4 +1,4 @@
-//! The environment itself: three members and two entries behind proxies.
+//! Tests of the test environment: three members and two entries behind proxies.
 
 mod env;
 
@@ -25,7 +25,7 @@
     let document = env.document.clone();
     assert_eq!(env.apply(&document), 2);
     env.kill(&format!("control-{next}"));
-    env.control(next);
+    env.start_control(next);
     wait_until("the killed member is back with version 2", || {
         env.status(next).is_some_and(|it| it["version"] == 2)
     });
--- a/crates/mothplank/tests/history/mod.rs
+++ b/crates/mothplank/tests/history/mod.rs
@@ -1,19 +1,20 @@
-//! Operators whose calls and answers are recorded, a watch on entries, and the checks of both.
+//! Operators whose calls and answers are recorded, a monitor of the entries' versions, and checks
+//! of both.
 //!
-//! A history is judged twice: by a linearizability checker against [`Register`], and by direct
-//! checks that each name one promise.
+//! A history is checked twice: by a linearizability checker against [`Register`], and by direct
+//! checks of single guarantees.
 
-// Each test file takes in the whole module and uses a part of it.
+// Each test file includes the whole module and uses a part of it.
 #![allow(dead_code, unreachable_pub, unused_imports)]
 
 mod checks;
-mod gate;
+mod monitor;
 mod operator;
+mod order_proxy;
 mod record;
-mod watch;
 
-pub use checks::{check_all, check_resent, members_hold, trail};
-pub use gate::{Gate, Seen};
+pub use checks::{audit_trail, check_all, check_resent, wait_members_applied};
+pub use monitor::{VersionMonitor, entry_version};
 pub use operator::{Operator, document};
-pub use record::{Answer, Asked, InForce, Operation, Record, Register};
-pub use watch::{Watch, version};
+pub use order_proxy::{OrderProxy, SeenOrder};
+pub use record::{Answer, InForce, Operation, Record, Register, SentChange};
--- a/crates/mothplank/tests/history/operator.rs
+++ b/crates/mothplank/tests/history/operator.rs
@@ -1,5 +1,5 @@
-//! An operator who reads the service, proposes on what was read, and sends again under the same
-//! id while no answer comes.
+//! An operator who reads the service, proposes a change based on the version read, and resends it
+//! with the same id until it is answered.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,80 +7,80 @@
 
 use serde_json::{Value, json};
 
-use super::record::{Answer, Asked, InForce, Operation, Record};
-use crate::env::{Http, HttpError, OPERATORS, PATIENCE, Reply, SITES, TestEnv};
+use super::record::{Answer, InForce, Operation, Record, SentChange};
+use crate::env::{Http, HttpError, OPERATORS, Reply, SITES, TestEnv, WAIT_TIMEOUT};
 
-/// The pause before a change is sent again.
+/// The pause before a resend.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// One operator. Each change has a number of its own, from which its id is made.
+/// An operator. Each change has a unique number, from which its id is derived.
 pub struct Operator {
     record: Arc<Record>,
     http: Http,
-    /// Its place among [`OPERATORS`].
-    which: usize,
+    /// The index in [`OPERATORS`].
+    index: usize,
     members: Vec<SocketAddr>,
-    /// The member that is asked next.
+    /// The index of the member that gets the next request.
     next: usize,
     document: Value,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 enum Attempt<T> {
     Answered(T),
-    /// It had no effect.
+    /// The change had no effect.
     NotRun,
-    /// It may have had its effect.
+    /// The change may have had an effect.
     Lost,
 }
 
 impl Operator {
-    /// Makes the operator `which`, who asks the members given by number, in turn.
-    pub fn new(env: &TestEnv, which: usize, members: &[usize], record: &Arc<Record>) -> Self {
+    /// Creates the operator with this index, who asks the members with these numbers in turn.
+    pub fn new(env: &TestEnv, index: usize, members: &[usize], record: &Arc<Record>) -> Self {
         let members: Vec<SocketAddr> = members.iter().map(|it| env.control_address(*it)).collect();
         let (http, record) = (env.http.clone(), Arc::clone(record));
-        Self { record, http, which, next: which, members, document: document() }
+        Self { record, http, index, next: index, members, document: document() }
     }
 
-    /// Sets the document that further changes carry.
-    pub fn write(&mut self, document: &Value) {
+    /// Sets the document of the next changes.
+    pub fn set_document(&mut self, document: &Value) {
         self.document = document.clone();
     }
 
-    /// Reads the version in force from whichever member answers.
+    /// Reads the version in force, from the first member that answers.
     pub fn read(&mut self) -> InForce {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(seen) = self.read_once() {
                 return seen;
             }
-            assert!(Instant::now() < end, "{} cannot read the service", OPERATORS[self.which].0);
+            assert!(Instant::now() < end, "{} cannot read the service", OPERATORS[self.index].0);
             std::thread::sleep(PAUSE);
         }
     }
 
     /// Asks one member once for the version in force.
     pub fn read_once(&mut self) -> Option<InForce> {
-        let number = self.record.call(Operation::Read(None));
+        let number = self.record.record_call(Operation::Read(None));
         let reply = self.send("GET", "/v1/service", String::new()).ok()?;
         if reply.status != 200 {
             return None;
         }
         let answer = reply.json();
         let text = answer["document"]["base"].as_str().unwrap_or_default();
-        let seen = InForce { version: number_of(&answer["version"]), change: marker(text) };
-        self.record.respond(number, Operation::Read(Some(seen)));
+        let seen = InForce { version: number_of(&answer["version"]), change: change_in_text(text) };
+        self.record.record_response(number, Operation::Read(Some(seen)));
         Some(seen)
     }
 
-    /// Proposes a change and sends it again until it is answered.
+    /// Proposes a change and resends it until it is answered.
     ///
-    /// Every seventh change is sent again although it is answered, and what comes then must be the
-    /// same. Of every eleventh nobody reads the answer, and every fifth is given up when its answer
-    /// is lost: those stay open.
+    /// Every seventh change is resent although it was answered, and must get the same answer. The
+    /// answer of every eleventh change is ignored, and every fifth change is abandoned if its
+    /// answer is lost; these operations stay open in the record.
     pub fn change(&mut self, change: u64, base: u64) -> Answer {
         let number = self.call(change, base);
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             match self.attempt(change) {
                 Attempt::Answered(_) if change.is_multiple_of(11) => return Answer::Lost,
@@ -89,7 +89,7 @@
                         assert_eq!(self.resend(change), answer, "change {change}, resent");
                     }
                     let operation = Operation::Change { change, base, answer };
-                    self.record.respond(number, operation);
+                    self.record.record_response(number, operation);
                     return answer;
                 }
                 Attempt::Lost if change.is_multiple_of(5) => return Answer::Lost,
@@ -100,19 +100,19 @@
         }
     }
 
-    /// Proposes a change to one member once; it stays open where no answer comes.
+    /// Proposes a change to one member once; without an answer the operation stays open.
     pub fn change_once(&mut self, change: u64, base: u64) -> Answer {
         let number = self.call(change, base);
         let Attempt::Answered(answer) = self.attempt(change) else {
             return Answer::Lost;
         };
-        self.record.respond(number, Operation::Change { change, base, answer });
+        self.record.record_response(number, Operation::Change { change, base, answer });
         answer
     }
 
-    /// Sends a change again that was answered before, unrecorded, until it is answered again.
+    /// Resends a change that was answered before, until it is answered again; not recorded.
     pub fn resend(&mut self, change: u64) -> Answer {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Attempt::Answered(answer) = self.attempt(change) {
                 return answer;
@@ -123,23 +123,23 @@
     }
 
     fn call(&self, change: u64, base: u64) -> usize {
-        let text = format!("// change {change} by {}\n{}", OPERATORS[self.which].0, self.document);
+        let text = format!("// change {change} by {}\n{}", OPERATORS[self.index].0, self.document);
         let document = json!({"base": text, "overlays": {}});
         let body = json!({"id": id(change), "base": base, "document": document}).to_string();
-        self.record.ask(change, Asked { operator: self.which, body });
-        self.record.call(Operation::Change { change, base, answer: Answer::Lost })
+        self.record.record_request(change, SentChange { operator: self.index, body });
+        self.record.record_call(Operation::Change { change, base, answer: Answer::Lost })
     }
 
     fn attempt(&mut self, change: u64) -> Attempt<Answer> {
         let attempt = self.propose(change);
         if matches!(attempt, Attempt::Lost) {
-            self.record.lose();
+            self.record.count_lost();
         }
         attempt
     }
 
     fn propose(&mut self, change: u64) -> Attempt<Answer> {
-        let body = self.record.asked(change).body;
+        let body = self.record.sent_change(change).body;
         let reply = match self.send("POST", "/v1/changes", body) {
             Ok(reply) => reply,
             Err(HttpError::NotSent(_)) => return Attempt::NotRun,
@@ -151,7 +151,7 @@
             (200, "accepted") => Attempt::Answered(Answer::Accepted(version)),
             (409, "conflict") => {
                 let winner = answer["winner"].as_str().unwrap_or_default();
-                let change = change_of(winner);
+                let change = change_number(winner);
                 Attempt::Answered(Answer::Conflict(InForce { version, change }))
             }
             (503, "not-run") => Attempt::NotRun,
@@ -163,13 +163,13 @@
     fn send(&mut self, method: &str, path: &str, body: String) -> Result<Reply, HttpError> {
         let to = self.members[self.next % self.members.len()];
         self.next += 1;
-        let bearer = format!("Bearer {}", OPERATORS[self.which].1);
+        let bearer = format!("Bearer {}", OPERATORS[self.index].1);
         let headers = [("authorization", bearer.as_str()), ("content-type", "application/json")];
         self.http.send(to, method, path, &headers, body)
     }
 }
 
-/// Returns the smallest document.
+/// Returns a minimal document.
 pub fn document() -> Value {
     let site = |name: &&str| (name.to_string(), json!({"region": "south", "domain": name}));
     let sites: serde_json::Map<_, _> = SITES.iter().map(site).collect();
@@ -180,12 +180,12 @@
     format!("6f1c1f6e-6f0f-4a63-8a6b-{change:012x}")
 }
 
-fn change_of(id: &str) -> u64 {
+fn change_number(id: &str) -> u64 {
     id.rsplit('-').next().and_then(|it| u64::from_str_radix(it, 16).ok()).unwrap_or(0)
 }
 
 /// Returns the number of the change that wrote a document.
-fn marker(text: &str) -> u64 {
+fn change_in_text(text: &str) -> u64 {
     let rest = text.strip_prefix("// change ").unwrap_or_default();
     rest.split(' ').next().and_then(|it| it.parse().ok()).unwrap_or(0)
 }
--- a/crates/mothplank/tests/history/order_proxy.rs
+++ b/crates/mothplank/tests/history/order_proxy.rs
@@ -1,5 +1,5 @@
-//! A gate before an engine: it notes every order that passes, and can hold orders back as a
-//! network may, for longer than anybody expects.
+//! A proxy in front of an engine that records every order, and can delay orders for an unlimited
+//! time, as a network may.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,12 +11,12 @@
 
 /// An order that reached the engine, and the engine's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct SeenOrder {
     /// Its fencing number.
     pub fence: u64,
-    /// The version of the weights that it names.
+    /// The version of the weights in the order.
     pub version: String,
-    /// The status that the engine answered with: 200 is taken, 409 refused.
+    /// The status of the engine's response: 200 if accepted, 409 if refused.
     pub status: u16,
 }
 
@@ -25,69 +25,69 @@
     holds: bool,
     held: Vec<String>,
     released: bool,
-    seen: Vec<Seen>,
+    seen: Vec<SeenOrder>,
 }
 
-/// A running gate; it ends with the test's process.
+/// A running proxy; it runs until the test process exits.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct OrderProxy {
     address: SocketAddr,
     engine: SocketAddr,
     http: Http,
     inner: Arc<(Mutex<State>, Condvar)>,
 }
 
-/// One request, read whole.
+/// A complete request.
 struct Request {
     method: String,
     path: String,
     body: Vec<u8>,
 }
 
-impl Gate {
-    /// Opens a gate to an engine.
+impl OrderProxy {
+    /// Starts a proxy to an engine.
     pub fn open(env: &TestEnv, engine: SocketAddr) -> Self {
         let listener = TcpListener::bind(env.ports.free()).unwrap();
         let address = listener.local_addr().unwrap();
-        let gate = Self { address, engine, http: env.http.clone(), inner: Arc::default() };
-        let server = gate.clone();
+        let proxy = Self { address, engine, http: env.http.clone(), inner: Arc::default() };
+        let server = proxy.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let server = server.clone();
                 std::thread::spawn(move || server.serve(&stream));
             }
         });
-        gate
+        proxy
     }
 
-    /// Returns where it listens.
+    /// Returns the address of the proxy.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Holds back every order that comes from now on, or no more.
+    /// Sets whether new orders are delayed.
     pub fn hold(&self, holds: bool) {
         self.inner.0.lock().unwrap().holds = holds;
     }
 
-    /// Returns the versions that the orders held back name.
+    /// Returns the versions in the delayed orders.
     pub fn held(&self) -> Vec<String> {
         self.inner.0.lock().unwrap().held.clone()
     }
 
-    /// Lets all that was held back go on to the engine.
+    /// Forwards all delayed orders to the engine.
     pub fn release(&self) {
         self.inner.0.lock().unwrap().released = true;
         self.inner.1.notify_all();
     }
 
     /// Returns the orders that reached the engine, in order.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<SeenOrder> {
         self.inner.0.lock().unwrap().seen.clone()
     }
 
-    /// Returns the version of the weights that the engine shows.
-    pub fn shows(&self) -> String {
+    /// Returns the version of the weights that the engine reports.
+    pub fn engine_version(&self) -> String {
         let standing = self.http.get(self.engine, "/v1/orders").map(|it| it.json());
         standing.map_or(String::new(), |it| text(&it["version"]))
     }
@@ -95,19 +95,20 @@
     fn serve(&self, stream: &TcpStream) {
         let mut reader = BufReader::new(stream);
         let mut writer = stream;
-        while let Some(request) = read(&mut reader) {
+        while let Some(request) = read_request(&mut reader) {
             let is_order = request.method == "POST" && request.path == "/v1/orders";
-            let (status, body) = if is_order { self.order(&request) } else { self.pass(&request) };
+            let (status, body) =
+                if is_order { self.handle_order(&request) } else { self.forward(&request) };
             let head = format!("HTTP/1.1 {status} -\r\ncontent-type: application/json\r\n");
             let head = format!("{head}content-length: {}\r\n\r\n", body.len());
-            // Whoever sent a held order has gone.
+            // The sender of a delayed order has closed its connection.
             if writer.write_all(head.as_bytes()).and_then(|()| writer.write_all(&body)).is_err() {
                 return;
             }
         }
     }
 
-    fn order(&self, request: &Request) -> (u16, Vec<u8>) {
+    fn handle_order(&self, request: &Request) -> (u16, Vec<u8>) {
         let order: Value = serde_json::from_slice(&request.body).unwrap();
         let version = text(&order["version"]);
         let mut state = self.inner.0.lock().unwrap();
@@ -117,14 +118,15 @@
                 state = self.inner.1.wait(state).unwrap();
             }
         }
-        // The lock is kept: the order of `seen` is the one in which the engine took them.
-        let (status, body) = self.pass(request);
+        // The lock is held during the call, so that `seen` has the order in which the engine got
+        // them.
+        let (status, body) = self.forward(request);
         let fence = order["fence"].as_u64().unwrap_or_default();
-        state.seen.push(Seen { fence, version, status });
+        state.seen.push(SeenOrder { fence, version, status });
         (status, body)
     }
 
-    fn pass(&self, request: &Request) -> (u16, Vec<u8>) {
+    fn forward(&self, request: &Request) -> (u16, Vec<u8>) {
         let headers = [("content-type", "application/json")];
         let body = request.body.clone();
         let reply = self.http.send(self.engine, &request.method, &request.path, &headers, body);
@@ -132,7 +134,7 @@
     }
 }
 
-fn read(reader: &mut impl BufRead) -> Option<Request> {
+fn read_request(reader: &mut impl BufRead) -> Option<Request> {
     let mut line = String::new();
     reader.read_line(&mut line).ok().filter(|it| *it > 0)?;
     let mut words = line.split_whitespace().map(str::to_owned);
--- a/crates/mothplank/tests/history/record.rs
+++ b/crates/mothplank/tests/history/record.rs
@@ -1,50 +1,50 @@
-//! The record of what operators asked and were answered, and its sequential specification.
+//! The record of the operators' calls and answers, and its sequential specification.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Mutex, MutexGuard};
 
 use todc_utils::{Action, History, Specification, WGLChecker};
 
-/// How many points before the faulty one are shown.
-const SHOWN: usize = 12;
+/// The maximum number of points that are printed before the faulty one.
+const MAX_SHOWN_POINTS: usize = 12;
 
-/// What is in force: a version, and the number of the change that made it.
+/// The version in force, and the number of the change that created it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct InForce {
     /// The version.
     pub version: u64,
-    /// The change whose document it is; 0 before the first.
+    /// The number of the change; 0 before the first one.
     pub change: u64,
 }
 
 /// The answer to a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It became this version.
+    /// The change became this version.
     Accepted(u64),
-    /// It lost against what was in force.
+    /// The change was based on another version than the one in force.
     Conflict(InForce),
-    /// None came: it may have been done at any time since.
+    /// No answer arrived: the change may take effect at any time after the call.
     Lost,
 }
 
-/// An operation with what was seen of it.
+/// An operation with its result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// The service was read; `None` until it is answered.
+    /// A read of the service; `None` until it is answered.
     Read(Option<InForce>),
-    /// A change was proposed.
+    /// A proposed change.
     Change {
-        /// Its number.
+        /// The number of the change.
         change: u64,
-        /// The version it was made on.
+        /// The version that it is based on.
         base: u64,
-        /// Its answer.
+        /// The answer.
         answer: Answer,
     },
 }
 
-/// A register that is changed by compare-and-set on its version.
+/// A register with a compare-and-set operation on its version.
 pub struct Register;
 
 impl Specification for Register {
@@ -55,8 +55,8 @@
         InForce::default()
     }
 
-    /// A change without an answer takes effect where its base is in force, and none otherwise.
-    /// That covers one that was never done, for the checker may place it after the end.
+    /// A change without an answer takes effect if its base is in force, otherwise it has no effect.
+    /// This includes a change that was never made, because the checker may place it after the end.
     fn apply(operation: &Operation, state: &InForce) -> (bool, InForce) {
         match *operation {
             Operation::Read(seen) => (seen == Some(*state), *state),
@@ -74,7 +74,7 @@
     }
 }
 
-/// A point in the history: an operation's call or response.
+/// A point in the history: the call or the response of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Point {
     Call(usize),
@@ -86,20 +86,20 @@
     points: Vec<Point>,
     operations: Vec<Operation>,
     lost: usize,
-    asked: BTreeMap<u64, Asked>,
+    sent: BTreeMap<u64, SentChange>,
 }
 
-/// What was sent for a change.
+/// The request that is sent for a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
-    /// The operator who proposes it, as a place among all operators.
+pub struct SentChange {
+    /// The index of the operator who proposes it.
     pub operator: usize,
-    /// The body; the same whenever it is sent.
+    /// The body, which is the same in each resend.
     pub body: String,
 }
 
-/// The record; shared by all operators. Calls are noted before they are sent, answers after they
-/// were received, so its order is one that everybody agrees to.
+/// The record, shared by all operators. Calls are recorded before they are sent and answers after
+/// they are received, so each recorded interval contains the actual one.
 #[derive(Debug, Default)]
 pub struct Record(Mutex<Log>);
 
@@ -108,8 +108,8 @@
         self.0.lock().unwrap()
     }
 
-    /// Notes a call; returns the number of the operation.
-    pub fn call(&self, operation: Operation) -> usize {
+    /// Records a call and returns the number of the operation.
+    pub fn record_call(&self, operation: Operation) -> usize {
         let mut log = self.lock();
         let number = log.operations.len();
         log.operations.push(operation);
@@ -117,30 +117,30 @@
         number
     }
 
-    /// Notes the response to an operation. An operation that gets none stays open.
-    pub fn respond(&self, number: usize, operation: Operation) {
+    /// Records the response to an operation. An operation without a response stays open.
+    pub fn record_response(&self, number: usize, operation: Operation) {
         let mut log = self.lock();
         log.operations[number] = operation;
         log.points.push(Point::Response(number));
     }
 
-    /// Notes what is sent for a change.
-    pub fn ask(&self, change: u64, asked: Asked) {
-        let other = self.lock().asked.insert(change, asked);
+    /// Records the request of a change.
+    pub fn record_request(&self, change: u64, sent: SentChange) {
+        let other = self.lock().sent.insert(change, sent);
         assert_eq!(other, None, "change {change} is made twice");
     }
 
-    /// Returns what is sent for a change.
-    pub fn asked(&self, change: u64) -> Asked {
-        self.lock().asked[&change].clone()
+    /// Returns the request of a change.
+    pub fn sent_change(&self, change: u64) -> SentChange {
+        self.lock().sent[&change].clone()
     }
 
-    /// Counts an answer to a change that was lost, whether or not it is sent again.
-    pub fn lose(&self) {
+    /// Counts a lost answer to a change, whether or not the change is resent.
+    pub fn count_lost(&self) {
         self.lock().lost += 1;
     }
 
-    /// Returns every change with its answer, by number.
+    /// Returns the base and the answer of every change, by the number of the change.
     pub fn changes(&self) -> BTreeMap<u64, (u64, Answer)> {
         let log = self.lock();
         let change = |it: &Operation| match *it {
@@ -150,10 +150,10 @@
         log.operations.iter().filter_map(change).collect()
     }
 
-    /// Returns the change that each accepted version was told to be.
+    /// Returns the accepted change of each version, according to the answers.
     ///
     /// # Panics
-    /// Where two changes were told that they are one version.
+    /// Panics if two changes were reported as accepted with the same version.
     pub fn accepted(&self) -> BTreeMap<u64, u64> {
         let mut winners = BTreeMap::new();
         for (change, (_, answer)) in self.changes() {
@@ -168,7 +168,8 @@
     /// Runs the linearizability checker over the whole history.
     ///
     /// # Panics
-    /// Where the history is not linearizable; names the answer up to which it still was.
+    /// Panics if the history is not linearizable, and prints the last points up to the first one
+    /// that makes it so.
     pub fn check(&self) {
         let log = self.lock();
         let answered = log.points.iter().filter(|it| matches!(it, Point::Response(_))).count();
@@ -178,10 +179,10 @@
         if log.is_linearizable(log.points.len()) {
             return;
         }
-        // Every beginning of a linearizable history is linearizable.
+        // Every prefix of a linearizable history is linearizable, so the search can be binary.
         let lengths: Vec<usize> = (1..=log.points.len()).collect();
         let sound = lengths.partition_point(|it| log.is_linearizable(*it));
-        let recent: Vec<_> = log.points[sound.saturating_sub(SHOWN)..=sound]
+        let recent: Vec<_> = log.points[sound.saturating_sub(MAX_SHOWN_POINTS)..=sound]
             .iter()
             .map(|point| match *point {
                 Point::Call(number) => format!("call {number}"),
@@ -193,8 +194,8 @@
 }
 
 impl Log {
-    /// Checks the first `length` points. A read that is not answered by then tells nothing and is
-    /// left out; a change that is not may have been done, and is closed at the end.
+    /// Checks the first `length` points. A read without an answer by then is left out, as it tells
+    /// nothing. A change without an answer may have been made and is closed at the end.
     fn is_linearizable(&self, length: usize) -> bool {
         let points = &self.points[..length];
         let answered: BTreeSet<usize> = points
--- a/crates/mothplank/tests/logs.rs
+++ b/crates/mothplank/tests/logs.rs
@@ -1,13 +1,13 @@
-//! Logs are JSON lines, and no secret is in them.
+//! Logs consist of JSON lines and contain no secret.
 
 mod env;
 
 use env::{CUSTOMER_KEY, OPERATOR_TOKEN, Plan, SECRET, TestEnv};
 use serde_json::{Value, json};
 
-// Symptom: a key that was changed because it leaked still stands in every collected log.
-// Sequence: the log level is raised to find a fault; callers and operators go on.
-// Cause looked for: a request's headers, a settings struct or a library's own trace is logged.
+/// Guards against secrets in collected logs when the log level is raised to find a fault: neither
+/// the headers of a request, nor a settings struct, nor the trace output of a library may contain
+/// one.
 #[test]
 fn every_line_is_json_and_no_secret_is_logged_at_the_finest_level() {
     let plan = Plan { entries: 1, log: "trace".to_owned(), ..Plan::default() };
--- a/crates/mothplank/tests/logs_command.rs
+++ b/crates/mothplank/tests/logs_command.rs
@@ -1,10 +1,10 @@
-//! `mothplank logs` on lines as entries write them.
+//! `mothplank logs` with log lines in the format of the entries.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// Lines of two entries, the second with what a collector puts before each.
+/// The logs of two entries; the lines of the second have a prefix that a log collector adds.
 const FIRST: &str = r#"
 {"level":"info","message":"started","target":"t","time":"2026-05-28T08:43:50.000Z","vm":"entry-1"}
 {"expected_ms":1100,"level":"info","message":"admitted a request to its stages","rank":4,"request":"a1","target":"t","time":"2026-05-28T08:43:50.100Z","wait_ms":5}
--- a/crates/mothplank/tests/lost_answers.rs
+++ b/crates/mothplank/tests/lost_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that are lost on their way, and VMs that do not answer, as commands meet them.
+//! The commands when answers are lost in the network or VMs do not answer.
 
 mod env;
 
@@ -6,26 +6,24 @@
 use serde_json::json;
 use standins::proxy::{Cut, Way};
 
-/// Silences answers, so that what is asked arrives and what is answered does not.
+/// Drops all answers, so that requests arrive but their answers do not.
 const NO_ANSWERS: Cut = Cut { way: Way::Down, scope: standins::proxy::Scope::All };
 
-fn changed(env: &TestEnv) -> Document {
+fn changed_document(env: &TestEnv) -> Document {
     let mut document = env.document.clone();
     document.base["policy"] = json!({"retries": 0.2});
     document
 }
 
-// Symptom: an operator whose answer was lost sends the change again and is told of a conflict
-// with themselves, or makes it twice.
-// Sequence: apply reaches a member; its answer is swallowed; apply sends the same change to
-// another address.
-// Cause looked for: the resend is taken for another change.
+/// Guards against a resent change that conflicts with itself or is made twice: the answer of a
+/// member is lost, `apply` sends the same change to another address, and the resend must not be
+/// taken for another change.
 #[test]
 fn a_change_whose_answer_is_lost_is_made_once() {
     let env = TestEnv::start(Plan { entries: 1, ..Plan::default() });
-    let proxy = env.proxy(env.control_address(1));
+    let proxy = env.start_proxy(env.control_address(1));
     proxy.cut(NO_ANSWERS);
-    let (base, _) = changed(&env).write(&env.data_folder(1).with_extension("files"));
+    let (base, _) = changed_document(&env).write(&env.data_folder(1).with_extension("files"));
     let members = format!("{},{}", proxy.address(), env.control_address(1));
     let base = base.to_str().unwrap();
     let applied = env.run_ok(&["apply", base, "--based-on", "1", "--control", &members]);
@@ -35,14 +33,13 @@
     assert_eq!(changes.count(), 2, "{trail}");
 }
 
-// Symptom: one pallet is sold twice.
-// Sequence: a caller's stock note runs at one entry; the answer is swallowed; the caller resends
-// to the other entry.
-// Cause looked for: the other entry does not find the claim, or the caller draws another key.
+/// Guards against a pallet that is sold twice: a stock note runs at one entry, the answer is lost,
+/// and the caller resends to the other entry. That entry must find the claim, and the caller must
+/// use the same key.
 #[test]
 fn a_note_whose_answer_is_lost_runs_once() {
     let env = TestEnv::start(Plan::default());
-    let proxy = env.proxy(env.entry_address(1));
+    let proxy = env.start_proxy(env.entry_address(1));
     proxy.cut(NO_ANSWERS);
     let entries = format!("{},{}", proxy.address(), env.entry_address(2));
     let call = ["call", "note", "--entry", &entries, "--idempotency-key", "note-1"];
@@ -57,14 +54,14 @@
     assert_eq!(runs, 1);
 }
 
-// Symptom: an operator takes a version for in force that one entry does not have.
-// Sequence: an entry stands still; a change is applied and waited for; the entry goes on.
-// Cause looked for: an entry that says nothing is left out of the account.
+/// Guards against `apply --wait` reporting a version as in force everywhere although one entry does
+/// not have it: an entry is stopped while a change is applied, and an entry that does not report
+/// must not be left out.
 #[test]
 fn apply_names_the_entry_that_lacks_the_version() {
     let mut env = TestEnv::start(Plan::default());
     env.signal("entry-2", Signal::STOP);
-    let (base, _) = changed(&env).write(&env.data_folder(1).with_extension("files"));
+    let (base, _) = changed_document(&env).write(&env.data_folder(1).with_extension("files"));
     let apply = ["apply", base.to_str().unwrap(), "--wait", "--wait-ms", "1000"];
     let (code, applied) = env.run(&apply);
     assert_eq!((code, &applied["outcome"]), (8, &json!("accepted")), "{applied}");
@@ -78,9 +75,9 @@
     });
 }
 
-// Symptom: a script takes a change for refused that is made later.
-// Sequence: two of three members are killed; an operator applies; a member comes back.
-// Cause looked for: without a quorum a change is said not to run although it may yet commit.
+/// Guards against a change that is reported as refused but made later: two of three members are
+/// killed, an operator applies a change, and one member returns. Without a quorum a change must not
+/// be reported as refused, because it may still be committed.
 #[test]
 fn without_a_quorum_a_change_is_not_called_refused() {
     let mut env = TestEnv::start(Plan { controls: 3, entries: 1, ..Plan::default() });
@@ -89,13 +86,13 @@
     for other in &others {
         env.kill(&format!("control-{other}"));
     }
-    let (base, _) = changed(&env).write(&env.data_folder(1).with_extension("files"));
+    let (base, _) = changed_document(&env).write(&env.data_folder(1).with_extension("files"));
     let id = uuid::Uuid::new_v4().to_string();
     let apply =
         ["apply", base.to_str().unwrap(), "--based-on", "1", "--change-id", &id, "--within-ms"];
     let (code, _) = env.run(&[&apply[..], &["4000"]].concat());
     assert!([5, 6].contains(&code), "exit code {code}");
-    env.control(others[0]);
+    env.start_control(others[0]);
     let applied = env.run_ok(&[&apply[..], &["60000"]].concat());
     assert_eq!((&applied["outcome"], &applied["version"]), (&json!("accepted"), &json!(2)));
 }
--- a/crates/mothplank/tests/operator.rs
+++ b/crates/mothplank/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The commands of operators and callers, as a shell would run them.
+//! The commands of operators and callers, run as a shell would run them.
 
 mod env;
 
@@ -71,7 +71,7 @@
     assert!(svg.starts_with("<svg") && svg.contains("generate"), "{svg}");
 }
 
-/// An upstream that an operator marks as leaving gets new work.
+/// Guards against an upstream that gets new calls although an operator has marked it as leaving.
 #[test]
 fn a_marked_upstream_gets_no_new_work_until_it_is_back() {
     let env = TestEnv::start(Plan { entries: 1, ..Plan::default() });
@@ -82,8 +82,8 @@
             assert_eq!(reply.outcome(), "complete", "{}", reply.text());
         }
     };
-    // An entry keeps to one of two equal upstreams while nothing else speaks for the other: only
-    // the one that has the work shows what a mark does.
+    // An entry keeps using one of two equal upstreams as long as nothing favors the other, so only
+    // a mark on the one in use has a visible effect.
     encode(20);
     let (marked, other) = match count("encoders-1") > count("encoders-2") {
         true => ("encoders-1", "encoders-2"),
@@ -106,7 +106,7 @@
     wait_until("the entry to learn of the mark", passed_over);
     let before = count(marked);
     encode(20);
-    // Were it not marked, it would be the faster one by far.
+    // Without the mark it would get the calls, because the other one is now much slower.
     env.http.faults(env.standin_address(other), &json!({"slow": 20.0}));
     encode(20);
     env.http.faults(env.standin_address(other), &json!({}));
--- a/crates/mothplank/tests/request_cost.rs
+++ b/crates/mothplank/tests/request_cost.rs
@@ -1,7 +1,7 @@
-//! What a claim costs: time added to a request, claims a second, bytes on disk.
+//! The cost of a claim: time added to a request, claims per second, bytes on disk.
 //!
-//! The figures are printed and not judged. For figures worth keeping run it alone, in a release
-//! build, with `MOTHPLANK_FULL` set and `--nocapture`.
+//! The figures are printed but not checked. For figures worth keeping, run the test alone, in a
+//! release build, with `MOTHPLANK_FULL` set and `--nocapture`.
 
 mod env;
 mod requests;
@@ -14,30 +14,32 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use env::{PATIENCE, Plan, Signal, TestEnv};
-use requests::{Answer, Ask, Caller, Said, size};
+use env::{Plan, Signal, TestEnv, WAIT_TIMEOUT};
+use requests::{Answer, Caller, Outcome, PipelineRequest, size};
 use serde_json::{Value, json};
 
 const ENTRIES: usize = 3;
 
-/// Keys in the full size: few enough that no snapshot replaces the log meanwhile.
+/// The number of keys in the full size: few enough that no snapshot replaces the log meanwhile.
 const KEYS: usize = 10_000;
 
-/// Callers at once where the rate is measured.
+/// The number of concurrent callers when the rate is measured.
 const CALLERS: usize = 64;
 
-/// Callers at once while members are stalled.
+/// The number of concurrent callers while members are stalled.
 const STALLED_CALLERS: usize = 8;
 
-/// How often and how long all members are stalled: beyond the 1.5 s after which entries leave one.
+/// How often and how long all members are stalled: longer than the 1.5 s after which an entry
+/// leaves a member.
 const STALLS: usize = 2;
 const STALL: Duration = Duration::from_millis(2_000);
 
-/// The ways in which the one stage is asked for.
+/// The kinds of requests: the pipeline, a label, and whether the request has an idempotency key.
 const KINDS: [(&str, &str, bool); 3] =
     [("plain", "no claim", false), ("plain", "claim", true), ("book", "claim, once", true)];
 
-/// Starts three members and three entries, and one stage with and without repetition.
+/// Starts three members and three entries, with two pipelines whose only stage is repeatable in one
+/// and not in the other.
 fn start(deadline: Duration) -> TestEnv {
     let mut env = TestEnv::start(Plan { controls: 3, entries: ENTRIES, ..Plan::default() });
     let stage = |once: bool| {
@@ -55,29 +57,30 @@
     env
 }
 
-fn bytes(folder: &Path) -> u64 {
+fn folder_bytes(folder: &Path) -> u64 {
     let files = fs::read_dir(folder).unwrap().filter_map(Result::ok);
     files.filter_map(|it| it.metadata().ok()).filter(|it| it.is_file()).map(|it| it.len()).sum()
 }
 
-/// A request that is sent until it is complete.
+/// A request that was sent until it was complete.
 struct Sent {
-    /// How long the sending took that was answered.
+    /// The duration of the attempt that was complete.
     took: Duration,
-    /// How often it was refused before.
+    /// The number of refused attempts before.
     refused: usize,
 }
 
-/// Sends a request until it is complete. A truthful "not run" is allowed while members are stalled: it
-/// says when to come back, and the same key is sent again, so that a refusal of what did run shows as a
-/// key that ran twice. Any other answer is a fault.
-fn complete(caller: &Caller, entry: SocketAddr, ask: &Ask<'_>) -> Sent {
-    let by = Instant::now() + PATIENCE;
+/// Sends a request until it is complete. A 503 with the outcome `not-run` is allowed while members
+/// are stalled. The request is then resent with the same key after the delay in the answer, so that
+/// a refusal of a request that did run would show as a key that ran twice. Any other answer fails
+/// the test.
+fn send_until_complete(caller: &Caller, entry: SocketAddr, request: &PipelineRequest<'_>) -> Sent {
+    let by = Instant::now() + WAIT_TIMEOUT;
     let mut refused = 0;
     loop {
         let sent = Instant::now();
-        let answer = caller.call(entry, ask);
-        if answer.said == Said::Complete {
+        let answer = caller.send_blocking(entry, request);
+        if answer.outcome == Outcome::Complete {
             return Sent { took: sent.elapsed(), refused };
         }
         assert!(is_refusal(&answer) && Instant::now() < by, "{answer:?}");
@@ -88,7 +91,7 @@
 }
 
 fn is_refusal(answer: &Answer) -> bool {
-    answer.said == Said::NotRun && answer.status == 503
+    answer.outcome == Outcome::NotRun && answer.status == 503
 }
 
 /// Returns the value that the share `share` of the times does not exceed, in milliseconds.
@@ -97,15 +100,20 @@
     times[at].as_secs_f64() * 1e3
 }
 
-/// One caller; the kinds take turns, so that whatever else the machine does hits them alike.
-fn time_alone(env: &TestEnv, caller: &Caller, rounds: usize) {
+/// Measures with one caller. The kinds take turns, so that other load on the machine affects all of
+/// them equally.
+fn measure_alone(env: &TestEnv, caller: &Caller, rounds: usize) {
     let mut times = [const { Vec::new() }; KINDS.len()];
     for round in 0..rounds {
         for (index, (pipeline, _, keyed)) in KINDS.iter().enumerate() {
             let marker = format!("alone-{index}-{round}");
             let key = keyed.then_some(marker.as_str());
             let entry = env.entry_address(round % ENTRIES + 1);
-            let sent = complete(caller, entry, &Ask { key, ..Ask::new(pipeline, &marker) });
+            let sent = send_until_complete(
+                caller,
+                entry,
+                &PipelineRequest { key, ..PipelineRequest::new(pipeline, &marker) },
+            );
             times[index].push(sent.took);
         }
     }
@@ -116,9 +124,9 @@
     }
 }
 
-/// [`CALLERS`] at once, each request under its own key.
-fn rate(env: &TestEnv, caller: &Caller, total: usize) {
-    let before: Vec<u64> = (1..=3).map(|n| bytes(&env.data_folder(n))).collect();
+/// Measures with [`CALLERS`] concurrent callers, each request with its own key.
+fn measure_rate(env: &TestEnv, caller: &Caller, total: usize) {
+    let before: Vec<u64> = (1..=3).map(|n| folder_bytes(&env.data_folder(n))).collect();
     let (next, refused) = (AtomicUsize::new(0), AtomicUsize::new(0));
     let times = Mutex::new(Vec::new());
     let begun = Instant::now();
@@ -130,7 +138,11 @@
             }
             let key = uuid::Uuid::now_v7().to_string();
             let entry = env.entry_address(i % ENTRIES + 1);
-            let sent = complete(caller, entry, &Ask { key: Some(&key), ..Ask::new("book", "lot") });
+            let sent = send_until_complete(
+                caller,
+                entry,
+                &PipelineRequest { key: Some(&key), ..PipelineRequest::new("book", "lot") },
+            );
             refused.fetch_add(sent.refused, Ordering::SeqCst);
             times.lock().unwrap().push(sent.took);
         }
@@ -151,7 +163,7 @@
         refused.load(Ordering::SeqCst)
     );
     for (n, before) in (1..=3).zip(before) {
-        let grown = bytes(&env.data_folder(n)) as f64 - before as f64;
+        let grown = folder_bytes(&env.data_folder(n)) as f64 - before as f64;
         eprintln!("member {n}: {:.0} bytes of data folder a claim", grown / total as f64);
     }
 }
@@ -162,14 +174,14 @@
     eprintln!("load average before: {}", load.trim());
     let env = start(Duration::from_secs(5));
     let caller = Caller::open(env.runtime.handle().clone(), CALLERS);
-    time_alone(&env, &caller, size(100, 3_000));
-    rate(&env, &caller, size(500, KEYS));
-    // What may be repeated may also be hedged.
-    once(&env, size(100, 3_000) + size(500, KEYS), |key| !key.starts_with("alone-1-"));
+    measure_alone(&env, &caller, size(100, 3_000));
+    measure_rate(&env, &caller, size(500, KEYS));
+    // Repeatable requests are not counted: they may be hedged and so run twice.
+    check_runs_once(&env, size(100, 3_000) + size(500, KEYS), |key| !key.starts_with("alone-1-"));
 }
 
-/// Checks that so many keys ran, each of them once.
-fn once(env: &TestEnv, keys: usize, counted: impl Fn(&str) -> bool) {
+/// Checks that `keys` keys for which `counted` holds ran, each of them once.
+fn check_runs_once(env: &TestEnv, keys: usize, counted: impl Fn(&str) -> bool) {
     let counts = ["stock-1", "stock-2"].map(|it| env.http.counts(env.standin_address(it)));
     let runs = counts.iter().flat_map(|it| it["runs"].as_object().unwrap());
     let once: Vec<_> = runs.filter(|(key, _)| counted(key)).collect();
@@ -177,14 +189,15 @@
     assert!(once.iter().all(|(_, runs)| **runs == 1), "a key ran twice");
 }
 
-/// While claims were measured, some were refused with `the session with control was interrupted after
-/// the request was claimed; nothing that may not be repeated ran`. The syncs of all three members had
-/// taken 1.5 to 2.0 s at once (`the disk was slow to sync; heartbeats waited for it`), and entries leave
-/// a member that brings no quorum's confirmation for 1.5 s. The refusal is true: sent again with the same key the
-/// request runs, and runs once. Here the members are stopped for as long.
+/// Guards against refusals that are not true. When the syncs of all three members take 1.5 to 2.0 s
+/// at once (`the disk was slow to sync; heartbeats waited for it`), claims are refused with `the
+/// session with control was interrupted after the request was claimed; nothing that may not be
+/// repeated ran`, because entries leave a member that brings no confirmation of a quorum for 1.5 s.
+/// Resent with the same key, such a request must run exactly once. Here all members are stopped for
+/// as long.
 #[test]
 fn what_is_refused_while_members_stall_runs_once_when_sent_again() {
-    let mut env = start(PATIENCE);
+    let mut env = start(WAIT_TIMEOUT);
     let caller = Caller::open(env.runtime.handle().clone(), CALLERS);
     let entries: Vec<SocketAddr> = (1..=ENTRIES).map(|n| env.entry_address(n)).collect();
     let (next, refused) = (AtomicUsize::new(0), AtomicUsize::new(0));
@@ -193,8 +206,12 @@
         while stalled.load(Ordering::SeqCst) {
             let i = next.fetch_add(1, Ordering::SeqCst);
             let key = uuid::Uuid::now_v7().to_string();
-            let ask = Ask { key: Some(&key), deadline: PATIENCE, ..Ask::new("book", "lot") };
-            let sent = complete(&caller, entries[i % ENTRIES], &ask);
+            let request = PipelineRequest {
+                key: Some(&key),
+                deadline: WAIT_TIMEOUT,
+                ..PipelineRequest::new("book", "lot")
+            };
+            let sent = send_until_complete(&caller, entries[i % ENTRIES], &request);
             refused.fetch_add(sent.refused, Ordering::SeqCst);
         }
     };
@@ -211,7 +228,7 @@
         stalled.store(false, Ordering::SeqCst);
     });
     eprintln!("{} refused and sent again", refused.load(Ordering::SeqCst));
-    once(&env, next.load(Ordering::SeqCst), |_| true);
+    check_runs_once(&env, next.load(Ordering::SeqCst), |_| true);
 }
 
 fn signal_members(env: &mut TestEnv, signal: Signal) {
--- a/crates/mothplank/tests/request_once.rs
+++ b/crates/mothplank/tests/request_once.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated, resent to any entry while everything around them fails.
+//! Requests that may not be repeated, resent to any entry while entries, members and services fail.
 
 mod env;
 mod requests;
@@ -12,27 +12,27 @@
 use env::{Plan, Signal, TestEnv, wait_for, wait_until};
 use futures_util::future::join_all;
 use rand::RngExt;
-use requests::{Ask, Caller, History, Mood, Run, Said, Sending, Stock, size};
+use requests::{Attempt, Behavior, Caller, History, Outcome, PipelineRequest, Run, Stock, size};
 use serde_json::json;
 use standins::proxy::{Cut, Scope, Way};
 
 const ENTRIES: usize = 3;
 const CALLERS: usize = 48;
 
-/// The most sendings of one key while things fail.
-const SENDINGS: usize = 10;
+/// The maximum number of attempts for one key while faults are injected.
+const MAX_ATTEMPTS: usize = 10;
 
-/// How long a process stays frozen or cut off: longer than the silence after which an entry counts
-/// as lost, so that its claims are lost under it.
-const LONG: Duration = Duration::from_secs(7);
+/// How long a process is stopped or cut off: longer than the time after which a silent entry counts
+/// as lost, so that it loses its claims.
+const LONG_FAULT: Duration = Duration::from_secs(7);
 
-/// The same for faults that are over before anybody counts as lost.
-const SHORT: Duration = Duration::from_secs(2);
+/// The duration of faults that end before an entry counts as lost.
+const SHORT_FAULT: Duration = Duration::from_secs(2);
 
-/// The deadline of a sending while things fail.
-const DEADLINE: Duration = Duration::from_millis(1_500);
+/// The deadline of an attempt while faults are injected.
+const FAULT_DEADLINE: Duration = Duration::from_millis(1_500);
 
-/// One fault, with its end.
+/// A fault and its repair.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     KillEntry,
@@ -46,17 +46,17 @@
 
 const STEPS: [Step; 9] = [
     Step::KillEntry,
-    Step::FreezeEntry(LONG),
+    Step::FreezeEntry(LONG_FAULT),
     Step::RefuseStock,
     Step::KillLeader,
     Step::CutEntry(Scope::All),
-    Step::FreezeLeader(SHORT),
+    Step::FreezeLeader(SHORT_FAULT),
     Step::CutLeader,
     Step::CutEntry(Scope::Open),
-    Step::FreezeEntry(SHORT),
+    Step::FreezeEntry(SHORT_FAULT),
 ];
 
-/// The whole trial.
+/// The state of the test.
 struct Trial {
     env: TestEnv,
     caller: Caller,
@@ -64,7 +64,7 @@
     stocks: [Stock; 2],
     history: History,
     keys: usize,
-    /// How many keys may begin.
+    /// The number of keys that may begin.
     open: AtomicUsize,
     next: AtomicUsize,
     done: AtomicUsize,
@@ -101,7 +101,7 @@
     }
 }
 
-/// The part of a trial that callers share.
+/// The part of the state that callers share.
 struct Callers<'a> {
     caller: &'a Caller,
     entries: &'a [SocketAddr],
@@ -109,47 +109,48 @@
 }
 
 impl Callers<'_> {
-    /// Sends once to any entry and records what came.
-    async fn send(&self, key: &str, pipeline: &str, deadline: Duration) -> Said {
+    /// Sends a request once to a random entry and records the attempt.
+    async fn send(&self, key: &str, pipeline: &str, deadline: Duration) -> Outcome {
         let entry = rand::rng().random_range(0..self.entries.len());
-        let ask = Ask { key: Some(key), deadline, ..Ask::new(pipeline, key) };
+        let request =
+            PipelineRequest { key: Some(key), deadline, ..PipelineRequest::new(pipeline, key) };
         let sent = Instant::now();
-        let answer = self.caller.ask(self.entries[entry], &ask).await;
-        let said = answer.said;
-        let sending = Sending { entry: entry + 1, sent, ended: Instant::now(), answer };
-        self.history.push(key, sending);
-        said
+        let answer = self.caller.send(self.entries[entry], &request).await;
+        let outcome = answer.outcome;
+        let attempt = Attempt { entry: entry + 1, sent, ended: Instant::now(), answer };
+        self.history.record(key, attempt);
+        outcome
     }
 
-    /// Sends a key up to [`SENDINGS`] times, now and then three at once, on past its first answer.
+    /// Sends a key up to [`MAX_ATTEMPTS`] times, sometimes three at once, and also after its first
+    /// answer.
     async fn resend(&self, key: &str, pipeline: &str) {
-        let most = rand::rng().random_range(2..=SENDINGS);
+        let max_attempts = rand::rng().random_range(2..=MAX_ATTEMPTS);
         let (mut sent, mut complete) = (0, 0);
-        while sent < most && complete < 3 {
-            let at_once = if rand::rng().random_bool(0.2) { 3.min(most - sent) } else { 1 };
-            let sendings = (0..at_once).map(|_| self.send(key, pipeline, DEADLINE));
-            let said = join_all(sendings).await;
+        while sent < max_attempts && complete < 3 {
+            let at_once = if rand::rng().random_bool(0.2) { 3.min(max_attempts - sent) } else { 1 };
+            let attempts = (0..at_once).map(|_| self.send(key, pipeline, FAULT_DEADLINE));
+            let outcomes = join_all(attempts).await;
             sent += at_once;
-            complete += said.iter().filter(|it| **it == Said::Complete).count();
+            complete += outcomes.iter().filter(|it| **it == Outcome::Complete).count();
             let pause = rand::rng().random_range(0..150);
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
     }
 }
 
-fn name(i: usize) -> (String, &'static str) {
+fn key_and_pipeline(i: usize) -> (String, &'static str) {
     (format!("key-{i}"), if i.is_multiple_of(2) { "book" } else { "note" })
 }
 
-// Symptom: a stock note is booked twice; or a caller that was told "not run" finds it booked, or
-// can never book it.
-// Sequence: callers resend each key up to ten times to any entry, some three at once; meanwhile
-// entries and the leading control member are killed, frozen beyond the time after which they count
-// as lost, and cut off from the others, and the service answers late, breaks off, fails, declines
-// and refuses connections.
-// Cause looked for: a claim is taken over, granted twice, released too early or left behind; a
-// frozen entry goes on with a claim that others believe lost; an answer is told before it is
-// stored.
+/// Guards against a stock note that is booked twice, or that is booked or can never be booked after
+/// the caller was told that it did not run. Callers resend each key up to ten times to any entry,
+/// sometimes three at once, while entries and the leader are killed, stopped for longer than the
+/// time after which they count as lost, and cut off from the others, and while the service answers
+/// late, closes connections, fails, declines calls and refuses connections. The fault would be a
+/// claim that is taken over, granted twice, released too early or never released, a stopped entry
+/// that continues with a claim that others consider lost, or an answer that is given before it is
+/// stored.
 #[test]
 fn a_key_runs_at_most_once_whatever_fails() {
     let trial = Trial::open(size(300, 5_000));
@@ -157,7 +158,7 @@
     let mut env = env;
     let runtime = env.runtime.handle().clone();
     let callers = Callers { caller: &caller, entries: &entries, history: &history };
-    let set = |mood: Mood| stocks.iter().for_each(|it| it.set(mood));
+    let set = |behavior: Behavior| stocks.iter().for_each(|it| it.set_behavior(behavior));
     let ran = || stocks.iter().map(|it| it.runs().len()).sum::<usize>();
     set(FAULTY);
     thread::scope(|scope| {
@@ -168,7 +169,7 @@
                     return;
                 }
                 wait_until("its turn", || open.load(Ordering::SeqCst) > i);
-                let (key, pipeline) = name(i);
+                let (key, pipeline) = key_and_pipeline(i);
                 runtime.block_on(callers.resend(&key, pipeline));
                 done.fetch_add(1, Ordering::SeqCst);
             }
@@ -181,31 +182,31 @@
             let share = keys * (round + 1) / rounds;
             let before = ran();
             let step = STEPS[round % STEPS.len()];
-            // Half of its keys begin only while the service refuses, so that some are sure to be told
-            // that they did not run.
+            // Half of the keys of this step begin only while the service refuses connections, so
+            // that some callers are certainly told that their request did not run.
             let held = if matches!(step, Step::RefuseStock) { keys / rounds / 2 } else { 0 };
             open.store(share - held, Ordering::SeqCst);
-            // The fault finds claims granted and calls under way.
+            // The fault happens while claims are granted and calls are in flight.
             wait_until("calls of these keys", || ran() >= before + keys / rounds / 4);
             let victim = victims.next().unwrap_or(1) % ENTRIES + 1;
             let begin = || open.store(share, Ordering::SeqCst);
-            fail(&mut env, step, victim, &set, begin);
-            // The next fault finds the last keys of this one still under way.
+            inject(&mut env, step, victim, &set, begin);
+            // The next fault happens while the last keys of this one are still in progress.
             let behind = CALLERS / 2;
             wait_until("the keys of this fault", || done.load(Ordering::SeqCst) + behind >= share);
         }
     });
-    set(Mood::default());
+    set(Behavior::default());
     (1..=ENTRIES).for_each(|n| env.wait_ready(env.entry_address(n)));
-    settle(&env, &callers, keys);
+    resend_until_final(&env, &callers, keys);
     let runs: Vec<Run> = stocks.iter().flat_map(Stock::runs).collect();
-    eprintln!("{keys} keys, {} runs: {:#?}", runs.len(), history.tally());
+    eprintln!("{keys} keys, {} runs: {:#?}", runs.len(), history.count_outcomes());
     history.verify(&runs);
-    can_still_run(&history, &runs, keys);
+    check_refused_keys(&history, &runs, keys);
 }
 
-/// How the service treats calls while things fail.
-const FAULTY: Mood = Mood {
+/// The behavior of the service while faults are injected.
+const FAULTY: Behavior = Behavior {
     late: Duration::from_millis(400),
     late_share: 0.4,
     cut: 0.05,
@@ -214,14 +215,20 @@
     refuse: false,
 };
 
-/// Lets one fault happen and ends it; `begin` lets the rest of its keys begin.
-fn fail(env: &mut TestEnv, step: Step, victim: usize, set: &impl Fn(Mood), begin: impl FnOnce()) {
+/// Injects a fault and repairs it; `begin` allows the rest of the keys of this step to begin.
+fn inject(
+    env: &mut TestEnv,
+    step: Step,
+    victim: usize,
+    set: &impl Fn(Behavior),
+    begin: impl FnOnce(),
+) {
     let entry = format!("entry-{victim}");
     let members = [1, 2, 3];
     match step {
         Step::KillEntry => {
             env.kill(&entry);
-            env.entry(victim);
+            env.start_entry(victim);
             env.wait_ready(env.entry_address(victim));
         }
         Step::FreezeEntry(time) => freeze(env, &entry, time),
@@ -231,7 +238,7 @@
                 env.link(victim, *to).cut(cut);
                 env.link(*to, victim).cut(cut);
             });
-            thread::sleep(LONG);
+            thread::sleep(LONG_FAULT);
             heal(env);
         }
         Step::KillLeader => {
@@ -239,7 +246,7 @@
             env.kill(&format!("control-{leader}"));
             let others: Vec<_> = members.into_iter().filter(|it| *it != leader).collect();
             env.wait_leader(&others);
-            env.control(leader);
+            env.start_control(leader);
             env.wait_live(env.control_address(leader));
         }
         Step::FreezeLeader(time) => {
@@ -254,13 +261,13 @@
                 env.link(*to, leader).cut(Cut { way: Way::Both, scope: Scope::All });
             });
             env.wait_leader(&others);
-            thread::sleep(SHORT);
+            thread::sleep(SHORT_FAULT);
             heal(env);
         }
         Step::RefuseStock => {
-            set(Mood { refuse: true, ..FAULTY });
+            set(Behavior { refuse: true, ..FAULTY });
             begin();
-            thread::sleep(SHORT);
+            thread::sleep(SHORT_FAULT);
             set(FAULTY);
         }
     }
@@ -278,20 +285,21 @@
     }
 }
 
-/// Tells whether more of the same would change an answer.
-fn is_final(it: &Sending) -> bool {
+/// Returns whether an answer is final, so that a resend cannot change it.
+fn is_final(it: &Attempt) -> bool {
     let reason = it.answer.reason();
-    match it.answer.said {
-        Said::Complete => true,
-        Said::Unknown => matches!(reason.as_str(), "owner-lost" | "call-lost" | "deadline"),
-        // What failed before the call may run again under its key; what ran stays.
-        Said::Failed => !it.answer.json()["detail"].to_string().contains("send it again"),
-        Said::NotRun | Said::Nothing => false,
+    match it.answer.outcome {
+        Outcome::Complete => true,
+        Outcome::Unknown => matches!(reason.as_str(), "owner-lost" | "call-lost" | "deadline"),
+        // A request that failed before the call may run again with the same key; one that ran may
+        // not.
+        Outcome::Failed => !it.answer.json()["detail"].to_string().contains("send it again"),
+        Outcome::NotRun | Outcome::NoAnswer => false,
     }
 }
 
-/// Sends every key until its answer is final.
-fn settle(env: &TestEnv, callers: &Callers<'_>, keys: usize) {
+/// Resends every key until its answer is final.
+fn resend_until_final(env: &TestEnv, callers: &Callers<'_>, keys: usize) {
     let next = AtomicUsize::new(0);
     thread::scope(|scope| {
         for _ in 0..CALLERS {
@@ -301,14 +309,14 @@
                     if i >= keys {
                         return;
                     }
-                    let (key, pipeline) = name(i);
-                    let mut said = String::new();
+                    let (key, pipeline) = key_and_pipeline(i);
+                    let mut last_answer = String::new();
                     wait_for(&format!("a final answer to {key}"), || {
                         let deadline = Duration::from_secs(10);
                         env.runtime.block_on(callers.send(&key, pipeline, deadline));
-                        let last = callers.history.of(&key).pop()?;
+                        let last = callers.history.attempts(&key).pop()?;
                         let ends = is_final(&last);
-                        tell_change(&key, &last, &mut said);
+                        print_changed_answer(&key, &last, &mut last_answer);
                         ends.then_some(())
                     });
                 }
@@ -317,29 +325,29 @@
     });
 }
 
-/// Prints an answer that is not final and differs from the one before: where none ever is, these
-/// lines say why.
-fn tell_change(key: &str, last: &Sending, said: &mut String) {
-    let now = format!("{:?} {} {}", last.answer.said, last.answer.status, last.answer.reason());
-    if now != *said && !is_final(last) {
+/// Prints an answer that is not final and differs from the previous one. If no answer ever becomes
+/// final, these lines show why.
+fn print_changed_answer(key: &str, last: &Attempt, last_answer: &mut String) {
+    let now = format!("{:?} {} {}", last.answer.outcome, last.answer.status, last.answer.reason());
+    if now != *last_answer && !is_final(last) {
         eprintln!("{key}, entry {}: {now}: {}", last.entry, last.answer.json()["detail"]);
     }
-    *said = now;
+    *last_answer = now;
 }
 
-/// Checks that what was told "not run", and did not run after all, ended as a complete answer or
-/// with the word of an attempt that came later.
-fn can_still_run(history: &History, runs: &[Run], keys: usize) {
+/// Checks that every key that was once answered `not-run` either ran afterwards, or ended with a
+/// final answer `unknown` to some attempt.
+fn check_refused_keys(history: &History, runs: &[Run], keys: usize) {
     let ran: BTreeSet<&str> = runs.iter().map(|it| it.key.as_str()).collect();
     let mut told = 0;
-    for (key, _) in (0..keys).map(name) {
-        let sendings = history.of(&key);
-        if !sendings.iter().any(|it| it.answer.said == Said::NotRun) {
+    for (key, _) in (0..keys).map(key_and_pipeline) {
+        let attempts = history.attempts(&key);
+        if !attempts.iter().any(|it| it.answer.outcome == Outcome::NotRun) {
             continue;
         }
         told += 1;
-        let lost = sendings.iter().any(|it| it.answer.said == Said::Unknown && is_final(it));
-        assert!(ran.contains(key.as_str()) || lost, "{key} can never run: {sendings:#?}");
+        let lost = attempts.iter().any(|it| it.answer.outcome == Outcome::Unknown && is_final(it));
+        assert!(ran.contains(key.as_str()) || lost, "{key} can never run: {attempts:#?}");
     }
     eprintln!("{told} keys were told that they did not run");
     assert!(told > 0, "no key was told that it did not run");
--- a/crates/mothplank/tests/request_resume.rs
+++ b/crates/mothplank/tests/request_resume.rs
@@ -1,4 +1,4 @@
-//! Streams whose engine dies under them.
+//! Streams whose engine dies while they run.
 
 mod env;
 mod requests;
@@ -6,30 +6,36 @@
 use std::thread;
 
 use env::{Plan, TestEnv, wait_for, wait_until};
-use requests::{Answer, Ask, Caller, Said, size};
+use requests::{Answer, Caller, Outcome, PipelineRequest, size};
 use serde_json::json;
 
-/// Tokens of a stream; at 20 ms each a stream lasts long enough to be met in the middle.
+/// The number of tokens of a stream; at 20 ms each, a stream lasts long enough to be interrupted in
+/// the middle.
 const TOKENS: u64 = 60;
 
-/// Streams at once.
+/// The number of concurrent streams.
 const STREAMS: usize = 4;
 
 /// The arguments of an engine.
 const ENGINE: [&str; 7] =
     ["engine", "--first-us", "2000", "--token-us", "20000", "--capacity", "16"];
 
-fn ask(marker: &str, stream: bool) -> Ask<'_> {
+fn request(marker: &str, stream: bool) -> PipelineRequest<'_> {
     let deadline = std::time::Duration::from_secs(20);
-    Ask { stream, deadline, tokens: Some(TOKENS), ..Ask::new("tell", marker) }
+    PipelineRequest {
+        stream,
+        deadline,
+        tokens: Some(TOKENS),
+        ..PipelineRequest::new("tell", marker)
+    }
 }
 
-/// Starts an environment with two engines that tell at leisure.
+/// Starts an environment with two additional slow engines.
 fn start() -> TestEnv {
     let mut env = TestEnv::start(Plan { entries: 1, ..Plan::default() });
     for i in 1..=2 {
         let name = format!("tellers-{i}");
-        let address = env.standin(&name, &ENGINE);
+        let address = env.start_standin(&name, &ENGINE);
         env.document.upstream("tellers", "generate", &name, address);
     }
     let base = &mut env.document.base;
@@ -46,19 +52,19 @@
     env.http.counts(env.standin_address(name))[what].as_u64().unwrap_or_default()
 }
 
-/// Checks a stream against the same request's uninterrupted one.
+/// Checks an interrupted stream against an uninterrupted stream of the same request.
 fn compare(cut: &Answer, whole: &Answer) {
-    assert_eq!(cut.said, Said::Complete, "{cut:?}");
-    assert_eq!(whole.said, Said::Complete, "{whole:?}");
+    assert_eq!(cut.outcome, Outcome::Complete, "{cut:?}");
+    assert_eq!(whole.outcome, Outcome::Complete, "{whole:?}");
     assert_eq!(whole.tokens.len(), TOKENS as usize);
     assert_eq!(cut.tokens, whole.tokens, "token by token");
     assert_eq!(cut.json()["output"], whole.json()["output"]);
 }
 
-// Symptom: a buyer's reply has a word twice, lacks one, or ends in the middle.
-// Sequence: streams run at one engine, which is killed in the middle of them; they go on at the
-// other from what was delivered.
-// Cause looked for: the second engine begins anew, or what it repeats or leaves out is passed on.
+/// Guards against streamed answers that repeat or lack a token or end early: the engine is killed
+/// in the middle of its streams, and they must continue at the other engine after the last
+/// delivered token. The second engine must not begin anew, and tokens that it repeats or skips must
+/// not be passed on.
 #[test]
 fn a_stream_whose_engine_is_killed_goes_on_token_by_token() {
     let mut env = start();
@@ -73,10 +79,10 @@
             .cloned()
             .map(|marker| {
                 let caller = caller.clone();
-                thread::spawn(move || caller.call(entry, &ask(&marker, true)))
+                thread::spawn(move || caller.send_blocking(entry, &request(&marker, true)))
             })
             .collect();
-        // The engine that has told the more is in the middle of a stream.
+        // An engine that has generated more than 10 tokens is in the middle of a stream.
         let victim = wait_for("an engine in the middle of a stream", || {
             (1..=2).find(|i| count(&env, &format!("tellers-{i}"), "tokens") > before[i - 1] + 10)
         });
@@ -87,7 +93,7 @@
         let other = 3 - victim;
         assert!(
             count(&env, &format!("tellers-{other}"), "resumed") > resumed[other - 1],
-            "no stream went on"
+            "no stream was resumed"
         );
         let args = [&ENGINE[..], &["--listen", &address]].concat();
         env.spawn(&name, &[&["standin"], &args[..]].concat());
@@ -95,16 +101,15 @@
             env.http.counts(env.standin_address(&name)).is_object()
         });
         for (marker, cut) in markers.iter().zip(&cut) {
-            compare(cut, &caller.call(entry, &ask(marker, true)));
+            compare(cut, &caller.send_blocking(entry, &request(marker, true)));
         }
     }
     assert_eq!(count(&env, "tellers-1", "mismatched") + count(&env, "tellers-2", "mismatched"), 0);
 }
 
-// Symptom: the same, with one engine left.
-// Sequence: the pool's only engine breaks off every other stream, by an error or by an end that
-// looks orderly, and is asked to go on.
-// Cause looked for: an orderly end is taken for the whole, or the engine repeats what it told.
+/// Guards against the same fault with only one engine: it interrupts every second stream, by an
+/// error or by an end that looks regular, and is asked to continue. A regular end must not be taken
+/// for a complete answer, and tokens that the engine repeats must not be passed on.
 #[test]
 fn a_stream_goes_on_at_the_same_engine() {
     let mut env = start();
@@ -119,24 +124,24 @@
     let cut: Vec<(String, Answer)> = (0..size(5, 80))
         .map(|i| format!("lot-{i}"))
         .map(|marker| {
-            let answer = caller.call(entry, &ask(&marker, true));
+            let answer = caller.send_blocking(entry, &request(&marker, true));
             (marker, answer)
         })
         .collect();
-    assert!(count(&env, "tellers-1", "resumed") > 0, "no stream went on");
+    assert!(count(&env, "tellers-1", "resumed") > 0, "no stream was resumed");
     env.http.faults(engine, &json!({}));
     let mut complete = 0;
     for (marker, cut) in &cut {
-        let whole = caller.call(entry, &ask(marker, true));
-        if cut.said == Said::Complete {
+        let whole = caller.send_blocking(entry, &request(marker, true));
+        if cut.outcome == Outcome::Complete {
             complete += 1;
             compare(cut, &whole);
         } else {
-            // Broken off too often to go on: said so, after nothing but its own tokens.
-            assert_eq!(cut.said, Said::Failed, "{cut:?}");
+            // Interrupted too often to continue: it is reported as failed after correct tokens.
+            assert_eq!(cut.outcome, Outcome::Failed, "{cut:?}");
             assert!(whole.tokens.starts_with(&cut.tokens), "{cut:?}");
         }
     }
-    assert!(complete > cut.len() / 2, "{complete} of {} went on to their end", cut.len());
+    assert!(complete > cut.len() / 2, "only {complete} of {} streams were completed", cut.len());
     assert_eq!(count(&env, "tellers-1", "mismatched"), 0);
 }
--- a/crates/mothplank/tests/request_silent.rs
+++ b/crates/mothplank/tests/request_silent.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent for good while new ones work.
+//! Open connections that go silent for good while new connections work.
 
 mod env;
 mod requests;
@@ -9,27 +9,27 @@
 use std::time::{Duration, Instant};
 
 use env::{Plan, TestEnv, wait_until};
-use requests::{Answer, Ask, Caller, Said, size};
+use requests::{Answer, Caller, Outcome, PipelineRequest, size};
 use serde_json::json;
 use standins::proxy::{Cut, Proxy};
 
 const CALLERS: usize = 16;
 
-/// The time after a cut that is not counted.
-const FIRST: Duration = Duration::from_secs(1);
+/// The time after a cut in which requests are not counted.
+const UNCOUNTED: Duration = Duration::from_secs(1);
 
-/// The share of requests after it that must complete within their deadline.
-const SHARE: f64 = 0.99;
+/// The minimum share of the counted requests that must complete within their deadline.
+const MIN_SHARE: f64 = 0.99;
 
-/// One request that ended.
+/// A request that has ended.
 struct Ended {
     sent: Instant,
     complete: bool,
     why: String,
 }
 
-/// Sends requests without pause from [`CALLERS`] callers, cuts once `warm` have ended, and checks
-/// the share of those sent after the first second.
+/// Sends requests without pause from [`CALLERS`] callers, calls `cut` once `warm` requests have
+/// ended, and checks how many of those sent more than [`UNCOUNTED`] later complete in time.
 fn measure(env: &TestEnv, pipeline: &str, cut: impl FnOnce()) {
     let (warm, counted) = (size(400, 4_000), size(1_000, 10_000));
     let caller = Caller::open(env.runtime.handle().clone(), 4);
@@ -41,11 +41,12 @@
             let i = next.fetch_add(1, Ordering::SeqCst);
             let marker = format!("lot-{i}");
             let key = (pipeline == "note").then_some(marker.as_str());
-            let ask = Ask { key, ..Ask::new(pipeline, &marker) };
+            let request = PipelineRequest { key, ..PipelineRequest::new(pipeline, &marker) };
             let sent = Instant::now();
-            let answer: Answer = caller.call(entries[i % entries.len()], &ask);
-            let complete = answer.said == Said::Complete && sent.elapsed() <= ask.deadline;
-            let why = format!("{:?} {} {}", answer.said, answer.status, answer.reason());
+            let answer: Answer = caller.send_blocking(entries[i % entries.len()], &request);
+            let complete =
+                answer.outcome == Outcome::Complete && sent.elapsed() <= request.deadline;
+            let why = format!("{:?} {} {}", answer.outcome, answer.status, answer.reason());
             ended.lock().unwrap().push(Ended { sent, complete, why });
         }
     };
@@ -58,7 +59,7 @@
         let cut_at = Instant::now();
         cut();
         wait_until("the load after the cut", || {
-            Instant::now() > cut_at + FIRST && since(cut_at + FIRST) >= counted
+            Instant::now() > cut_at + UNCOUNTED && since(cut_at + UNCOUNTED) >= counted
         });
         stop.store(true, Ordering::SeqCst);
         cut_at
@@ -69,25 +70,23 @@
         let complete = span.iter().filter(|it| it.complete).count();
         (complete, span.len())
     };
-    let (before, first) = (share(ended[0].sent, cut_at), share(cut_at, cut_at + FIRST));
-    let (complete, all) = share(cut_at + FIRST, Instant::now());
+    let (before, first) = (share(ended[0].sent, cut_at), share(cut_at, cut_at + UNCOUNTED));
+    let (complete, all) = share(cut_at + UNCOUNTED, Instant::now());
     eprintln!(
         "complete: before {before:?}, in the first second {first:?}, after ({complete}, {all})"
     );
     let late: Vec<&str> = ended
         .iter()
-        .filter(|it| it.sent >= cut_at + FIRST && !it.complete)
+        .filter(|it| it.sent >= cut_at + UNCOUNTED && !it.complete)
         .map(|it| it.why.as_str())
         .collect();
-    assert!(complete as f64 >= SHARE * all as f64, "{complete} of {all}: {late:#?}");
+    assert!(complete as f64 >= MIN_SHARE * all as f64, "{complete} of {all}: {late:#?}");
 }
 
-// Symptom: after a firewall was restarted, calls to upstreams hang until their deadline, for as
-// long as kept connections last.
-// Sequence: all open connections from entries to upstreams go silent at once, neither closed nor
-// answered; new ones work.
-// Cause looked for: a kept connection is believed until the deadline, and each call on another
-// silent one waits anew.
+/// Guards against calls to upstreams that hang until their deadline, as seen after a restart of a
+/// firewall: all open connections from entries to upstreams go silent, neither closed nor answered,
+/// while new ones work. An entry must neither trust a kept connection until the deadline nor wait
+/// again for each further silent one.
 #[test]
 fn silent_upstream_connections_cost_less_than_a_deadline() {
     let mut env = TestEnv::start(Plan::default());
@@ -95,7 +94,7 @@
     for pool in ["encoders", "retrievers", "rerankers", "engines", "stock"] {
         for i in 1..=2 {
             let name = format!("{pool}-{i}");
-            let proxy = env.proxy(env.standin_address(&name));
+            let proxy = env.start_proxy(env.standin_address(&name));
             env.document.base["pools"][pool]["upstreams"][&name]["address"] =
                 json!(proxy.address());
             proxies.push(proxy);
@@ -107,11 +106,10 @@
     assert!(proxies.iter().any(|it| it.counts().swallowed > 0), "nothing was cut");
 }
 
-// Symptom: after a firewall was restarted, requests under a key hang or are refused for lack of a
-// quorum, though every process works.
-// Sequence: all open connections between entries and members, and between members, go silent at
-// once; new ones work.
-// Cause looked for: a session believes its connection for longer than a request can wait.
+/// Guards against requests with an idempotency key that hang, or are refused for lack of a quorum,
+/// after a restart of a firewall although every process works: all open connections between entries
+/// and members, and between members, go silent while new ones work. A session must not trust its
+/// connection for longer than a request can wait.
 #[test]
 fn silent_control_connections_cost_less_than_a_deadline() {
     let plan = Plan { controls: 3, proxied: true, ..Plan::default() };
--- a/crates/mothplank/tests/request_slow_disk.rs
+++ b/crates/mothplank/tests/request_slow_disk.rs
@@ -1,4 +1,4 @@
-//! Members whose disks are slow, restarted in turn under load.
+//! Control members with slow disks, restarted one after the other under load.
 
 mod env;
 mod requests;
@@ -10,15 +10,15 @@
 use std::time::Duration;
 
 use env::{Plan, Signal, TestEnv, wait_until};
-use requests::{Ask, Caller, Said, size};
+use requests::{Caller, Outcome, PipelineRequest, size};
 
 const CONTROLS: usize = 3;
 const ENTRIES: usize = 3;
 
-/// Callers of each pipeline.
+/// The number of callers of each pipeline.
 const CALLERS: usize = 3;
 
-/// Sets how much longer each sync of a member's disk takes; debug builds look at it.
+/// Sets the delay that is added to each sync of a member's disk; only debug builds read it.
 fn slow_down(env: &TestEnv, member: usize, ms: u64) {
     fs::write(env.data_folder(member).join("sync-delay-ms"), ms.to_string()).unwrap();
 }
@@ -27,14 +27,14 @@
     let name = format!("control-{member}");
     env.signal(&name, Signal::TERM);
     assert_eq!(env.process(&name).wait_end(), Some(0), "{name}");
-    env.control(member);
+    env.start_control(member);
     env.wait_live(env.control_address(member));
     wait_until("the member to have caught up", || {
         env.status(member).is_some_and(|it| it["version"] == 2 && it["leader"].is_string())
     });
 }
 
-/// Guards against sound requests that are refused as stale, or end as failed after their claim, since
+/// Guards against valid requests that are refused as stale, or fail after their claim, because
 /// heartbeats and the confirmation of reads wait for slow disks.
 #[test]
 fn slow_disks_refuse_and_fail_nothing() {
@@ -67,9 +67,10 @@
                 let marker = format!("lot-{}", next.fetch_add(1, Ordering::SeqCst));
                 let key = (pipeline == "note").then_some(marker.as_str());
                 let deadline = Duration::from_secs(20);
-                let ask = Ask { key, deadline, ..Ask::new(pipeline, &marker) };
-                let answer = caller.call(entries[at % ENTRIES], &ask);
-                if answer.said == Said::Complete {
+                let request =
+                    PipelineRequest { key, deadline, ..PipelineRequest::new(pipeline, &marker) };
+                let answer = caller.send_blocking(entries[at % ENTRIES], &request);
+                if answer.outcome == Outcome::Complete {
                     done.fetch_add(1, Ordering::SeqCst);
                 } else {
                     faults.lock().unwrap().push(format!("{pipeline} at entry {at}: {answer:?}"));
@@ -88,7 +89,7 @@
         slow.iter().for_each(|it| slow_down(&env, *it, 0));
         let faults = faults.into_inner().unwrap();
         let done = done.into_inner();
-        eprintln!("{name}: {done} whole, {} not", faults.len());
-        assert!(faults.is_empty(), "{name}: {done} whole; not whole: {faults:#?}");
+        eprintln!("{name}: {done} complete, {} not", faults.len());
+        assert!(faults.is_empty(), "{name}: {done} complete; not complete: {faults:#?}");
     }
 }
--- a/crates/mothplank/tests/requests/balancer.rs
+++ b/crates/mothplank/tests/requests/balancer.rs
@@ -1,4 +1,4 @@
-//! A small balancer: it sends to the entries whose `/readyz` says so.
+//! A simple load balancer that selects among the entries whose `/readyz` answers 200.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 
 use crate::env::Http;
 
-/// How often it asks each entry.
+/// The interval of the readiness checks.
 const PERIOD: Duration = Duration::from_millis(50);
 
-/// A running balancer; it ends when dropped.
+/// A running balancer, which stops on drop.
 #[derive(Debug)]
 pub struct Balancer {
     entries: Arc<Vec<(SocketAddr, AtomicBool)>>,
@@ -21,7 +21,7 @@
 }
 
 impl Balancer {
-    /// Starts a balancer before `entries`, all of which are ready.
+    /// Starts a balancer for `entries`, all of which are ready.
     pub fn spawn(http: &Http, entries: &[SocketAddr]) -> Self {
         let entries: Vec<_> = entries.iter().map(|it| (*it, AtomicBool::new(true))).collect();
         let (entries, stop) = (Arc::new(entries), Arc::new(AtomicBool::new(false)));
@@ -38,7 +38,7 @@
         Self { entries, turn: AtomicUsize::new(0), stop, thread: Some(thread) }
     }
 
-    /// Returns the ready entry whose turn it is.
+    /// Returns the next ready entry in turn.
     pub fn next(&self) -> SocketAddr {
         let ready: Vec<_> = self.entries.iter().filter(|it| it.1.load(Ordering::SeqCst)).collect();
         let turn = self.turn.fetch_add(1, Ordering::SeqCst);
--- a/crates/mothplank/tests/requests/caller.rs
+++ b/crates/mothplank/tests/requests/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that send one request and keep exactly what they were told.
+//! Callers that send one request and keep the exact answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 
 use crate::env::CUSTOMER_KEY;
 
-/// What an answer says became of the request.
+/// The outcome of a request according to the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
-    /// It is whole.
+pub enum Outcome {
+    /// It is complete.
     Complete,
     /// It did not run.
     NotRun,
@@ -25,13 +25,13 @@
     Unknown,
     /// It ran and failed.
     Failed,
-    /// There is no whole answer.
-    Nothing,
+    /// There is no complete answer.
+    NoAnswer,
 }
 
-/// One request.
+/// A request to a pipeline.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct PipelineRequest<'a> {
     /// The pipeline.
     pub pipeline: &'a str,
     /// The marker in its input.
@@ -40,26 +40,26 @@
     pub key: Option<&'a str>,
     /// The deadline.
     pub deadline: Duration,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     pub tokens: Option<u64>,
-    /// Whether the answer is to be a stream.
+    /// Whether the answer is to be streamed.
     pub stream: bool,
 }
 
-/// What came of one request.
+/// The answer to a request, or the reason why there is none.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// What it says.
-    pub said: Said,
-    /// The status; 0 where there is no answer.
+    /// The outcome.
+    pub outcome: Outcome,
+    /// The HTTP status; 0 if there is no answer.
     pub status: u16,
-    /// The request's id by the header.
+    /// The id of the request in the response header.
     pub request: String,
-    /// The body; of a stream the data of its last event.
+    /// The body, or the data of the last event of a stream.
     pub body: Bytes,
     /// The tokens of a stream with their positions.
     pub tokens: Vec<(u64, String)>,
-    /// Why there is no whole answer.
+    /// The reason why there is no complete answer.
     pub fault: String,
 }
 
@@ -70,14 +70,14 @@
     runtime: Handle,
 }
 
-impl Ask<'_> {
-    /// Makes a request that may be repeated, with five seconds.
-    pub fn new<'a>(pipeline: &'a str, marker: &'a str) -> Ask<'a> {
+impl PipelineRequest<'_> {
+    /// Creates a request without an idempotency key and with a deadline of five seconds.
+    pub fn new<'a>(pipeline: &'a str, marker: &'a str) -> PipelineRequest<'a> {
         let deadline = Duration::from_secs(5);
-        Ask { pipeline, marker, key: None, deadline, tokens: None, stream: false }
+        PipelineRequest { pipeline, marker, key: None, deadline, tokens: None, stream: false }
     }
 
-    fn to(&self, address: SocketAddr) -> Request<Full<Bytes>> {
+    fn to_http(&self, address: SocketAddr) -> Request<Full<Bytes>> {
         let mut body = json!({"input": {"marker": self.marker}});
         if let Some(tokens) = self.tokens {
             body["max_tokens"] = tokens.into();
@@ -97,43 +97,43 @@
 }
 
 impl Answer {
-    /// Returns the body as JSON; null where it is none.
+    /// Returns the body as JSON; null if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// Returns the word for why it is not complete.
+    /// Returns the reason why the request is not complete.
     pub fn reason(&self) -> String {
         self.json()["reason"].as_str().unwrap_or(&self.fault).to_owned()
     }
 
-    fn nothing(fault: String) -> Self {
+    fn no_answer(fault: String) -> Self {
         let (request, body, tokens) = Default::default();
-        Self { said: Said::Nothing, status: 0, request, body, tokens, fault }
+        Self { outcome: Outcome::NoAnswer, status: 0, request, body, tokens, fault }
     }
 
-    fn of(status: u16, headers: &HeaderMap, body: Bytes) -> Self {
+    fn from_response(status: u16, headers: &HeaderMap, body: Bytes) -> Self {
         let text = |name| headers.get(name).and_then(|it| it.to_str().ok()).unwrap_or_default();
         let mut answer = Self {
             status,
             request: text("mothplank-request").into(),
             body,
-            ..Self::nothing(String::new())
+            ..Self::no_answer(String::new())
         };
         if text("content-type").starts_with("text/event-stream") {
             answer.read_events();
         }
-        answer.said = match answer.json()["outcome"].as_str() {
-            Some("complete") => Said::Complete,
-            Some("not-run") => Said::NotRun,
-            Some("unknown") => Said::Unknown,
-            Some("failed") => Said::Failed,
-            _ => Said::Nothing,
+        answer.outcome = match answer.json()["outcome"].as_str() {
+            Some("complete") => Outcome::Complete,
+            Some("not-run") => Outcome::NotRun,
+            Some("unknown") => Outcome::Unknown,
+            Some("failed") => Outcome::Failed,
+            _ => Outcome::NoAnswer,
         };
         answer
     }
 
-    /// Takes a stream apart; without exactly one last event there is no whole answer.
+    /// Parses a stream; without exactly one final event the answer is not complete.
     fn read_events(&mut self) {
         let text = String::from_utf8_lossy(&self.body).into_owned();
         let mut last = Vec::new();
@@ -155,12 +155,12 @@
 }
 
 impl Caller {
-    /// Opens a caller that keeps up to `idle` connections to each entry for its next requests.
+    /// Creates a caller that keeps up to `idle` idle connections to each entry.
     pub fn open(runtime: Handle, idle: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_secs(5)));
-        // What never left is sent again over another connection, as any balancer does.
+        // A request that was never sent is sent over another connection, as load balancers do.
         let client = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(idle)
             .retry_canceled_requests(idle > 0)
@@ -168,25 +168,25 @@
         Self { client, runtime }
     }
 
-    /// Sends one request and waits for its answer until a while after its deadline.
-    pub async fn ask(&self, entry: SocketAddr, ask: &Ask<'_>) -> Answer {
-        let within = ask.deadline + ask.deadline.min(Duration::from_secs(2)) / 2;
+    /// Sends a request and waits for the answer until some time after the deadline.
+    pub async fn send(&self, entry: SocketAddr, request: &PipelineRequest<'_>) -> Answer {
+        let within = request.deadline + request.deadline.min(Duration::from_secs(2)) / 2;
         let exchange = async {
             let response =
-                self.client.request(ask.to(entry)).await.map_err(|e| format!("{e:?}"))?;
+                self.client.request(request.to_http(entry)).await.map_err(|e| format!("{e:?}"))?;
             let (parts, body) = response.into_parts();
             let body = body.collect().await.map_err(|e| format!("body: {e:?}"))?.to_bytes();
-            Ok::<_, String>(Answer::of(parts.status.as_u16(), &parts.headers, body))
+            Ok::<_, String>(Answer::from_response(parts.status.as_u16(), &parts.headers, body))
         };
         match tokio::time::timeout(within, exchange).await {
             Ok(Ok(answer)) => answer,
-            Ok(Err(fault)) => Answer::nothing(fault),
-            Err(_) => Answer::nothing("no answer in time".to_owned()),
+            Ok(Err(fault)) => Answer::no_answer(fault),
+            Err(_) => Answer::no_answer("no answer in time".to_owned()),
         }
     }
 
-    /// The same for threads.
-    pub fn call(&self, entry: SocketAddr, ask: &Ask<'_>) -> Answer {
-        self.runtime.block_on(self.ask(entry, ask))
+    /// Does the same as [`Caller::send`], blocking the thread.
+    pub fn send_blocking(&self, entry: SocketAddr, request: &PipelineRequest<'_>) -> Answer {
+        self.runtime.block_on(self.send(entry, request))
     }
 }
--- a/crates/mothplank/tests/requests/mod.rs
+++ b/crates/mothplank/tests/requests/mod.rs
@@ -1,7 +1,7 @@
-//! What the tests of the request's promises share: callers that keep what they were told, a plain
-//! service that notes each run, and the checks of their histories.
+//! Shared parts of the tests of the guarantees for requests: callers that keep their answers, a
+//! plain service that records each run, and checks of the histories.
 
-// Each test file takes in the whole module and uses a part of it.
+// Each test file includes the whole module and uses a part of it.
 #![allow(dead_code, unreachable_pub, unused_imports)]
 
 mod balancer;
@@ -10,20 +10,20 @@
 mod stock;
 
 pub use balancer::Balancer;
-pub use caller::{Answer, Ask, Caller, Said};
-pub use history::{History, Sending, check};
-pub use stock::{Mood, Run, Stock};
+pub use caller::{Answer, Caller, Outcome, PipelineRequest};
+pub use history::{Attempt, History, check_key};
+pub use stock::{Behavior, Run, Stock};
 
-/// Names the variable that asks for the full sizes; any value does.
+/// The environment variable that selects the full sizes, with any value.
 const FULL: &str = "MOTHPLANK_FULL";
 
-/// Returns `full` where the full sizes are asked for, else `small`.
+/// Returns `full` if the full sizes are selected, otherwise `small`.
 pub fn size(small: usize, full: usize) -> usize {
     if std::env::var_os(FULL).is_some() { full } else { small }
 }
 
-/// Runs one chaotic step after the other, each once `share` more of the work is done.
-pub fn at_each<F: FnOnce()>(total: usize, done: impl Fn() -> usize, steps: Vec<F>) {
+/// Runs the steps one after the other, spread evenly over the progress of the work.
+pub fn run_at_milestones<F: FnOnce()>(total: usize, done: impl Fn() -> usize, steps: Vec<F>) {
     let count = steps.len() + 1;
     for (index, step) in steps.into_iter().enumerate() {
         let mark = total * (index + 1) / count;
--- a/crates/mothplank/tests/requests/stock.rs
+++ b/crates/mothplank/tests/requests/stock.rs
@@ -1,4 +1,5 @@
-//! A plain service whose calls may not be repeated. It notes who ran, when, and for which request.
+//! A plain service whose calls may not be repeated. It records the key, the request and the time of
+//! each run.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,31 +18,31 @@
 use tokio::runtime::Handle;
 use tokio::sync::watch;
 
-/// How it treats calls. Shares run from 0 to 1.
+/// The behavior of the service. Shares are between 0 and 1.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Mood {
-    /// How much later an answer leaves.
+pub struct Behavior {
+    /// The delay of late answers.
     pub late: Duration,
     /// The share of late answers.
     pub late_share: f64,
-    /// The share of calls that run and get no answer, since their connection breaks.
+    /// The share of calls that run and get no answer because the connection is closed.
     pub cut: f64,
-    /// The share of calls that run and end in a 500.
+    /// The share of calls that run and are answered with a 500.
     pub error: f64,
-    /// The share of calls that are declined by a 429 that repeats their id.
+    /// The share of calls that do not run and are answered with a 429 that contains their id.
     pub decline: f64,
     /// Whether new connections are refused.
     pub refuse: bool,
 }
 
-/// One run of a call.
+/// A run of a call.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The idempotency key.
     pub key: String,
-    /// The request that it was for.
+    /// The id of the request.
     pub request: String,
-    /// When it began.
+    /// The time when it began.
     pub at: Instant,
 }
 
@@ -50,43 +51,43 @@
 pub struct Stock {
     address: SocketAddr,
     runs: Arc<Mutex<Vec<Run>>>,
-    mood: watch::Sender<Mood>,
+    behavior: watch::Sender<Behavior>,
 }
 
 impl Stock {
     /// Starts a service at `address`.
     pub fn spawn(runtime: &Handle, address: SocketAddr) -> Self {
-        let stock = Self { address, runs: Arc::default(), mood: watch::Sender::default() };
+        let stock = Self { address, runs: Arc::default(), behavior: watch::Sender::default() };
         runtime.spawn(stock.clone().accept());
         stock
     }
 
-    /// Returns where it listens.
+    /// Returns the address of the service.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets how it treats calls from now on.
-    pub fn set(&self, mood: Mood) {
-        self.mood.send_replace(mood);
+    /// Sets the behavior for the next calls.
+    pub fn set_behavior(&self, behavior: Behavior) {
+        self.behavior.send_replace(behavior);
     }
 
-    /// Returns every run so far, in order.
+    /// Returns all runs so far, in order.
     pub fn runs(&self) -> Vec<Run> {
         self.runs.lock().unwrap().clone()
     }
 
     async fn accept(self) {
-        let mut mood = self.mood.subscribe();
+        let mut behavior = self.behavior.subscribe();
         loop {
-            let _ = mood.wait_for(|it| !it.refuse).await;
+            let _ = behavior.wait_for(|it| !it.refuse).await;
             let Ok(listener) = TcpListener::bind(self.address).await else {
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
             loop {
                 tokio::select! {
-                    _ = mood.wait_for(|it| it.refuse) => break,
+                    _ = behavior.wait_for(|it| it.refuse) => break,
                     accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                         tokio::spawn(self.clone().serve(stream));
                     },
@@ -118,20 +119,20 @@
         }
         let Ok(body) = body.collect().await else { return Ok(reply(400, call, &json!({}))) };
         let body: Value = serde_json::from_slice(&body.to_bytes()).unwrap_or_default();
-        let mood = *self.mood.borrow();
-        let hits = |share: f64| share > 0.0 && rand::rng().random::<f64>() < share;
-        if hits(mood.decline) {
+        let behavior = *self.behavior.borrow();
+        let happens = |share: f64| share > 0.0 && rand::rng().random::<f64>() < share;
+        if happens(behavior.decline) {
             return Ok(reply(429, call, &json!({})));
         }
-        let run = self.note(key, &body);
-        if hits(mood.late_share) {
-            tokio::time::sleep(mood.late).await;
+        let run = self.record_run(key, &body);
+        if happens(behavior.late_share) {
+            tokio::time::sleep(behavior.late).await;
         }
-        if hits(mood.cut) {
+        if happens(behavior.cut) {
             cut.send_replace(true);
             std::future::pending::<()>().await;
         }
-        if hits(mood.error) {
+        if happens(behavior.error) {
             return Ok(reply(500, call, &json!({})));
         }
         let marker = standins::marker::find(&body["input"].to_string()).join("+");
@@ -139,8 +140,9 @@
         Ok(reply(200, call, &json!({"call": call, "output": output, "busy_us": 1})))
     }
 
-    /// Notes a run before anything can go wrong with it: from here on it has an effect.
-    fn note(&self, key: &str, body: &Value) -> usize {
+    /// Records a run, and so makes its effect, before any simulated fault can happen. Returns the
+    /// number of runs.
+    fn record_run(&self, key: &str, body: &Value) -> usize {
         let request = body["request"].as_str().unwrap_or_default().to_owned();
         let mut runs = self.runs.lock().unwrap();
         runs.push(Run { key: key.to_owned(), request, at: Instant::now() });
--- a/crates/mothplank/tests/state_leader.rs
+++ b/crates/mothplank/tests/state_leader.rs
@@ -1,4 +1,4 @@
-//! A leader that was stopped or cut off, and comes back after another has taken its place.
+//! A leader that is stopped or cut off, and returns after another leader was elected.
 
 mod env;
 mod history;
@@ -7,131 +7,138 @@
 use std::time::{Duration, Instant};
 
 use env::{Plan, Signal, TestEnv, wait_until};
-use history::{Answer, Gate, InForce, Operator, Record, Seen, Watch, check_all, document, version};
+use history::{
+    Answer, InForce, Operator, OrderProxy, Record, SeenOrder, VersionMonitor, check_all, document,
+    entry_version,
+};
 use serde_json::{Value, json};
 use standins::proxy::{Cut, Scope, Way};
 
 const MEMBERS: [usize; 3] = [1, 2, 3];
 
-/// Readers and proposers that wait at the leader while it is away.
-const WAITING: u64 = 6;
+/// The number of calls sent to the isolated leader before, and again after, a new leader is
+/// elected.
+const WAITING_CALLS: u64 = 6;
 
-/// The first number of the changes that are proposed to the leader that is away.
-const FIRST_AWAY: u64 = 100;
+/// The number of the first change that is proposed to the isolated leader.
+const FIRST_ISOLATED_CHANGE: u64 = 100;
 
-/// How a leader is put away.
+/// How a leader is isolated from the other members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Away {
-    /// Its process is stopped and goes on later, with all that it had in mind.
+enum Isolation {
+    /// Its process is stopped, and later continues with its old state in memory.
     Stopped,
-    /// Nothing that it sends to other members arrives.
-    Mute,
-    /// Nothing that other members send to it arrives.
-    Deaf,
+    /// Nothing that it sends arrives at the other members.
+    OutboundCut,
+    /// Nothing that the other members send arrives at it.
+    InboundCut,
 }
 
-/// A cluster with an engine that checks fencing numbers and one that ignores them.
-struct Scene {
+/// A cluster with an engine that checks fencing numbers and an engine that ignores them.
+struct Scenario {
     env: TestEnv,
     record: Arc<Record>,
-    checks: Gate,
-    ignores: Gate,
+    checks: OrderProxy,
+    ignores: OrderProxy,
 }
 
-// Symptom looked for: after another member leads, what the old leader says counts: a change is told
-// accepted, an old version is read, an entry goes back, an engine that checks takes its order, or
-// one that ignores numbers keeps it.
-// Sequence: the leader's orders for version 2 are held up by the network; the leader is put away;
-// another is elected and brings version 3 into force; operators wait at the old leader; the held
-// orders arrive and the old leader comes back.
-// Cause it would have: answers from the leader's own memory, orders without a rising number, or a
-// new leader that orders once and never looks again.
+// These tests guard against effects of an old leader after another one was elected: it reports a
+// change as accepted, returns an old version to a reader, moves an entry back to an old version,
+// gets an order accepted by an engine that checks fencing numbers, or leaves its order in effect at
+// an engine that ignores them. Orders for version 2 are delayed in the network, the leader is
+// isolated, another is elected and puts version 3 into force while operators call the old leader;
+// then the delayed orders arrive and the old leader returns. The faults would come from answers out
+// of the leader's own memory, from orders without increasing fencing numbers, or from a new leader
+// that sends its orders once and never checks them again.
 #[test]
 fn a_stopped_leader_has_no_say_when_it_goes_on() {
-    replace(Away::Stopped);
+    replace_leader(Isolation::Stopped);
 }
 
 #[test]
 fn a_leader_that_nobody_hears_has_no_say() {
-    replace(Away::Mute);
+    replace_leader(Isolation::OutboundCut);
 }
 
 #[test]
 fn a_leader_that_hears_nobody_has_no_say() {
-    replace(Away::Deaf);
+    replace_leader(Isolation::InboundCut);
 }
 
-fn replace(away: Away) {
-    let mut scene = Scene::open();
-    let watch = Watch::start(&scene.env);
-    let mut operator = Operator::new(&scene.env, 0, &MEMBERS, &scene.record);
-    operator.write(&scene.document("1"));
+fn replace_leader(isolation: Isolation) {
+    let mut scenario = Scenario::open();
+    let monitor = VersionMonitor::start(&scenario.env);
+    let mut operator = Operator::new(&scenario.env, 0, &MEMBERS, &scenario.record);
+    operator.set_document(&scenario.document("1"));
     assert_eq!(operator.change(1, 0), Answer::Accepted(1));
-    scene.wait_engines("1");
-    scene.wait_entries(&MEMBERS, 1);
+    scenario.wait_engines("1");
+    scenario.wait_entries(&MEMBERS, 1);
 
-    // The orders for version 2 are under way when the leader goes.
-    scene.hold(true);
-    let old = scene.env.wait_leader(&MEMBERS);
-    operator.write(&scene.document("2"));
+    // The orders for version 2 are in flight when the leader is isolated.
+    scenario.hold(true);
+    let old = scenario.env.wait_leader(&MEMBERS);
+    operator.set_document(&scenario.document("2"));
     assert_eq!(operator.change(2, 1), Answer::Accepted(2));
-    let held = |gate: &Gate| gate.held().contains(&"2".to_owned());
-    wait_until("an order to each engine", || held(&scene.checks) && held(&scene.ignores));
+    let held = |proxy: &OrderProxy| proxy.held().contains(&"2".to_owned());
+    wait_until("an order to each engine", || held(&scenario.checks) && held(&scenario.ignores));
     let others: Vec<usize> = MEMBERS.into_iter().filter(|it| *it != old).collect();
     let from = Instant::now();
-    scene.put_away(away, old, &others);
-    let mut waiting: Vec<_> = (0..WAITING).map(|it| scene.ask_away(old, it)).collect();
+    scenario.isolate(isolation, old, &others);
+    let mut waiting: Vec<_> = (0..WAITING_CALLS).map(|it| scenario.ask_isolated(old, it)).collect();
 
-    let new = scene.env.wait_leader(&others);
+    let new = scenario.env.wait_leader(&others);
     assert_ne!(new, old);
-    scene.hold(false);
-    let mut operator = Operator::new(&scene.env, 1, &others, &scene.record);
-    operator.write(&scene.document("3"));
-    let last = win(&mut operator);
-    // Whoever asks from here on must not be told of version 2 any more.
-    waiting.extend((WAITING..2 * WAITING).map(|it| scene.ask_away(old, it)));
-    scene.wait_engines("3");
-    scene.wait_settled(new);
-    if away == Away::Stopped {
-        scene.wait_entries(&MEMBERS, last.version);
+    scenario.hold(false);
+    let mut operator = Operator::new(&scenario.env, 1, &others, &scenario.record);
+    operator.set_document(&scenario.document("3"));
+    let last = propose_until_accepted(&mut operator);
+    // From here on nobody may read version 2 any more.
+    waiting.extend((WAITING_CALLS..2 * WAITING_CALLS).map(|it| scenario.ask_isolated(old, it)));
+    scenario.wait_engines("3");
+    scenario.wait_settled(new);
+    if isolation == Isolation::Stopped {
+        scenario.wait_entries(&MEMBERS, last.version);
     } else {
-        // The entry on the VM that is cut off reaches nobody else, and must say so.
-        scene.wait_entries(&others, last.version);
-        let entry = scene.env.entry_address(old);
+        // The entry on the VM that is cut off reaches no other member and must report not ready.
+        scenario.wait_entries(&others, last.version);
+        let entry = scenario.env.entry_address(old);
         wait_until("the entry beside the old leader to stop serving", || {
-            scene.env.http.get(entry, "/readyz").is_ok_and(|it| it.status == 503)
+            scenario.env.http.get(entry, "/readyz").is_ok_and(|it| it.status == 503)
         });
-        // It hears only the old leader, who has proposals for a third version and no quorum.
-        if away == Away::Deaf {
-            assert!(version(&scene.env.http, entry) <= Some(2), "published without a quorum");
+        // It hears only the old leader, which has proposals for a third version but no quorum.
+        if isolation == Isolation::InboundCut {
+            assert!(
+                entry_version(&scenario.env.http, entry) <= Some(2),
+                "published without a quorum"
+            );
         }
     }
-    wait_span(from);
+    wait_outage(from);
 
-    // A leader that is cut off answers while it is; once healed it may pass a change on, and be
-    // told that it was accepted by the one that leads.
-    if away != Away::Stopped {
+    // A leader that is cut off answers its calls while it is cut off. Once the connections are
+    // healed, it may forward a change and report that the current leader accepted it.
+    if isolation != Isolation::Stopped {
         waiting.drain(..).for_each(|it| it.join().unwrap());
     }
-    scene.checks.release();
-    scene.ignores.release();
-    scene.bring_back(away, old, &others);
+    scenario.checks.release();
+    scenario.ignores.release();
+    scenario.restore(isolation, old, &others);
     waiting.drain(..).for_each(|it| it.join().unwrap());
     wait_until("the old leader to follow", || {
-        let status = scene.env.status(old);
+        let status = scenario.env.status(old);
         status.is_some_and(|it| it["role"] == "follower" && it["version"] == last.version)
     });
-    let late = |gate: &Gate| gate.seen().iter().filter(|it| it.version == "2").count() > 0;
-    wait_until("the held orders to arrive", || late(&scene.checks) && late(&scene.ignores));
-    scene.wait_engines("3");
-    check_fences(&scene.checks.seen());
-    check_last(&scene.ignores.seen());
-    check_all(&scene.env, &scene.record, watch);
+    let late = |proxy: &OrderProxy| proxy.seen().iter().filter(|it| it.version == "2").count() > 0;
+    wait_until("the held orders to arrive", || late(&scenario.checks) && late(&scenario.ignores));
+    scenario.wait_engines("3");
+    check_fences(&scenario.checks.seen());
+    check_final_order(&scenario.ignores.seen());
+    check_all(&scenario.env, &scenario.record, monitor);
 }
 
-/// Proposes until a change wins. A change that waited at the old leader may have been passed on
-/// to the new one and have won before.
-fn win(operator: &mut Operator) -> InForce {
+/// Proposes changes until one is accepted. A change that waited at the old leader may have been
+/// forwarded to the new one and accepted first.
+fn propose_until_accepted(operator: &mut Operator) -> InForce {
     for change in 10.. {
         let base = operator.read().version;
         if let Answer::Accepted(version) = operator.change(change, base) {
@@ -141,16 +148,17 @@
     unreachable!("there is always another number")
 }
 
-/// A full run keeps the leader away for `MOTHPLANK_AWAY_SECONDS`.
-fn wait_span(from: Instant) {
-    let named = std::env::var("MOTHPLANK_AWAY_SECONDS").ok().and_then(|it| it.parse().ok());
-    let span = Duration::from_secs(named.unwrap_or(0));
+/// Waits until the leader was isolated for `MOTHPLANK_AWAY_SECONDS`, which only full runs set.
+fn wait_outage(from: Instant) {
+    let requested = std::env::var("MOTHPLANK_AWAY_SECONDS").ok().and_then(|it| it.parse().ok());
+    let span = Duration::from_secs(requested.unwrap_or(0));
     std::thread::sleep(span.saturating_sub(from.elapsed()));
 }
 
-/// An engine that checks never takes a lower number, nor an old target after a newer one.
-fn check_fences(seen: &[Seen]) {
-    let taken: Vec<&Seen> = seen.iter().filter(|it| it.status == 200).collect();
+/// Checks that an engine that checks fencing numbers accepted neither a lower number nor an old
+/// version after a newer one.
+fn check_fences(seen: &[SeenOrder]) {
+    let taken: Vec<&SeenOrder> = seen.iter().filter(|it| it.status == 200).collect();
     for pair in taken.windows(2) {
         assert!(pair[0].fence < pair[1].fence, "numbers taken do not rise: {seen:?}");
         assert!(pair[0].version <= pair[1].version, "an old order was taken: {seen:?}");
@@ -159,35 +167,36 @@
     assert!(refused, "the late order was not refused: {seen:?}");
 }
 
-/// An engine that ignores numbers took the late order, and after it the target in force again.
-fn check_last(seen: &[Seen]) {
+/// Checks that an engine that ignores fencing numbers accepted the late order, and afterwards the
+/// version in force again.
+fn check_final_order(seen: &[SeenOrder]) {
     let versions: Vec<&str> = seen.iter().map(|it| it.version.as_str()).collect();
     let late = versions.iter().rposition(|it| *it == "2").unwrap();
     assert!(versions[..late].contains(&"3"), "the late order was not late: {seen:?}");
     assert_eq!(versions.last(), Some(&"3"), "{seen:?}");
 }
 
-impl Scene {
+impl Scenario {
     fn open() -> Self {
         let plan = Plan { controls: 3, entries: 3, proxied: true, ..Plan::default() };
         let mut env = TestEnv::open(plan);
-        let checks = env.standin("checks", &["engine"]);
-        let ignores = env.standin("ignores", &["engine", "--no-fencing"]);
-        let (checks, ignores) = (Gate::open(&env, checks), Gate::open(&env, ignores));
-        env.controls();
+        let checks = env.start_standin("checks", &["engine"]);
+        let ignores = env.start_standin("ignores", &["engine", "--no-fencing"]);
+        let (checks, ignores) = (OrderProxy::open(&env, checks), OrderProxy::open(&env, ignores));
+        env.start_controls();
         env.init();
         env.wait_voters(3);
         for n in 1..=3 {
-            env.entry(n);
+            env.start_entry(n);
         }
         Self { env, record: Arc::default(), checks, ignores }
     }
 
-    /// Makes a document in which both engines are to have this version of the weights.
+    /// Returns a document that requires this version of the weights at both engines.
     fn document(&self, version: &str) -> Value {
-        let pool = |gate: &Gate, fencing: &str| {
+        let pool = |proxy: &OrderProxy, fencing: &str| {
             let upstream = json!({
-                "address": gate.address(), "site": "north", "vm": fencing, "capacity": 4,
+                "address": proxy.address(), "site": "north", "vm": fencing, "capacity": 4,
                 "model": "appraiser", "role": "both", "fencing": fencing, "reports": false,
             });
             json!({"kind": "generate", "cost": 1.0, "upstreams": {fencing: upstream}})
@@ -208,51 +217,51 @@
 
     fn wait_engines(&self, version: &str) {
         wait_until(&format!("both engines to show version {version}"), || {
-            self.checks.shows() == version && self.ignores.shows() == version
+            self.checks.engine_version() == version && self.ignores.engine_version() == version
         });
     }
 
     fn wait_entries(&self, entries: &[usize], least: u64) {
         for n in entries.iter().copied() {
             wait_until(&format!("entry {n} to have version {least}"), || {
-                version(&self.env.http, self.env.entry_address(n)) >= Some(least)
+                entry_version(&self.env.http, self.env.entry_address(n)) >= Some(least)
             });
         }
     }
 
-    /// Asks the leader that is away, on a thread of its own: half of the calls read, half propose
-    /// on the version that it last knew. None may be told that it was accepted.
-    fn ask_away(&self, old: usize, number: u64) -> std::thread::JoinHandle<()> {
-        let which = number as usize % env::OPERATORS.len();
-        let mut operator = Operator::new(&self.env, which, &[old], &self.record);
-        operator.write(&self.document("away"));
+    /// Calls the isolated leader on a new thread: half of the calls read, the other half propose a
+    /// change based on the last version that it knew. No change may be reported as accepted.
+    fn ask_isolated(&self, old: usize, number: u64) -> std::thread::JoinHandle<()> {
+        let index = number as usize % env::OPERATORS.len();
+        let mut operator = Operator::new(&self.env, index, &[old], &self.record);
+        operator.set_document(&self.document("away"));
         std::thread::spawn(move || {
             if number.is_multiple_of(2) {
                 operator.read_once();
                 return;
             }
-            let answer = operator.change_once(FIRST_AWAY + number, 2);
+            let answer = operator.change_once(FIRST_ISOLATED_CHANGE + number, 2);
             assert!(!matches!(answer, Answer::Accepted(_)), "accepted by the old leader");
         })
     }
 
-    fn put_away(&mut self, away: Away, old: usize, others: &[usize]) {
-        let (own, theirs) = match away {
-            Away::Stopped => {
+    fn isolate(&mut self, isolation: Isolation, old: usize, others: &[usize]) {
+        let (old_way, other_way) = match isolation {
+            Isolation::Stopped => {
                 self.env.signal(&format!("control-{old}"), Signal::STOP);
                 return self.wait_stopped(old);
             }
-            Away::Mute => (Way::Up, Way::Down),
-            Away::Deaf => (Way::Down, Way::Up),
+            Isolation::OutboundCut => (Way::Up, Way::Down),
+            Isolation::InboundCut => (Way::Down, Way::Up),
         };
         for other in others {
-            self.env.link(old, *other).cut(Cut { way: own, scope: Scope::All });
-            self.env.link(*other, old).cut(Cut { way: theirs, scope: Scope::All });
+            self.env.link(old, *other).cut(Cut { way: old_way, scope: Scope::All });
+            self.env.link(*other, old).cut(Cut { way: other_way, scope: Scope::All });
         }
     }
 
-    /// Waits until no thread of the member runs. The signal is sent before they all take notice,
-    /// and a change that comes in between may still be committed.
+    /// Waits until no thread of the member runs. Threads stop some time after the signal is sent,
+    /// and a change that arrives before may still be committed.
     fn wait_stopped(&self, n: usize) {
         let tasks = format!("/proc/{}/task", self.env.process_id(&format!("control-{n}")));
         let is_stopped = |task: std::fs::DirEntry| {
@@ -264,7 +273,8 @@
         });
     }
 
-    /// Waits until the new leader has read back what it ordered, and has nothing left to order.
+    /// Waits until the new leader has read back the state that it ordered, and has no order left to
+    /// send.
     fn wait_settled(&self, new: usize) {
         wait_until("the new leader to have nothing left to order", || {
             let status = self.env.status(new);
@@ -273,10 +283,10 @@
         });
     }
 
-    fn bring_back(&mut self, away: Away, old: usize, others: &[usize]) {
-        match away {
-            Away::Stopped => self.env.signal(&format!("control-{old}"), Signal::CONT),
-            Away::Mute | Away::Deaf => self.env.heal(old, others),
+    fn restore(&mut self, isolation: Isolation, old: usize, others: &[usize]) {
+        match isolation {
+            Isolation::Stopped => self.env.signal(&format!("control-{old}"), Signal::CONT),
+            Isolation::OutboundCut | Isolation::InboundCut => self.env.heal(old, others),
         }
     }
 }
