--- a/crates/mothplank/benches/cluster.rs
+++ b/crates/mothplank/benches/cluster.rs
@@ -1,5 +1,5 @@
-//! Measures the replicated state with separate processes: `cargo bench -p mothplank --bench
-//! cluster`.
+//! Measures the replicated state with separate processes.
+//! Run it with `cargo bench -p mothplank --bench cluster`.
 //!
 //! It prints the latency of changes, the time from the death of a leader to the next accepted
 //! change, the time from the acceptance of a change until it is in force at eight entries, also
--- a/crates/mothplank/src/commands/control.rs
+++ b/crates/mothplank/src/commands/control.rs
@@ -30,7 +30,7 @@
         let mut signals = signals::open()?;
         let control = control::spawn(node).await?;
         tokio::select! {
-            () = signals.first() => control.drain().await,
+            () = signals.recv() => control.drain().await,
             why = control.stopped() => {
                 return Err(ExitError::new(
                     ExitCode::General,
--- a/crates/mothplank/src/commands/entry.rs
+++ b/crates/mothplank/src/commands/entry.rs
@@ -29,7 +29,7 @@
     runtime.block_on(async {
         let mut signals = signals::open()?;
         let entry = entry::spawn(node).await?;
-        signals.first().await;
+        signals.recv().await;
         entry.drain().await;
         Ok(ExitCode::Success)
     })
--- a/crates/mothplank/src/commands/signals.rs
+++ b/crates/mothplank/src/commands/signals.rs
@@ -25,7 +25,7 @@
 
 impl Signals {
     /// Waits for either signal.
-    pub(super) async fn first(&mut self) {
+    pub(super) async fn recv(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
--- a/crates/mothplank/src/commands/status.rs
+++ b/crates/mothplank/src/commands/status.rs
@@ -43,24 +43,30 @@
         status.vm,
         status.role,
         status.term,
-        plain(&status.leader),
+        format_value(&status.leader),
         status.version,
         status.commit,
         status.applied,
     );
     let mut members = Table::with_heading(&["member", "kind", "node", "holds"]);
     for it in &status.members {
-        members.add(vec![it.vm.clone(), it.kind.clone(), plain(&it.node), number(it.matched)]);
+        members.add(vec![
+            it.vm.clone(),
+            it.kind.clone(),
+            format_value(&it.node),
+            format_number(it.matched),
+        ]);
     }
     let mut entries = Table::with_heading(&["entry", "site", "version", "asked ms ago"]);
     for it in &status.entries {
         let version = it.version.to_string();
-        entries.add(vec![it.vm.clone(), it.site.clone(), version, number(it.age_ms)]);
+        entries.add(vec![it.vm.clone(), it.site.clone(), version, format_number(it.age_ms)]);
     }
     let mut upstreams = Table::with_heading(&["upstream", "standing", "in flight", "reported"]);
     for it in &status.upstreams {
         let flight = it.in_flight.to_string();
-        let cells = vec![it.upstream.clone(), it.standing.clone(), flight, number(it.reported)];
+        let cells =
+            vec![it.upstream.clone(), it.standing.clone(), flight, format_number(it.reported)];
         upstreams.add(cells);
     }
     let tables = [members, entries, upstreams].map(|it| it.format()).join("\n\n");
@@ -70,7 +76,7 @@
     format!("{head}\n\n{tables}\n\n{why}")
 }
 
-fn plain(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
         Value::String(it) => it.clone(),
@@ -78,6 +84,6 @@
     }
 }
 
-fn number(value: Option<u64>) -> String {
+fn format_number(value: Option<u64>) -> String {
     value.map_or_else(|| "-".to_owned(), |it| it.to_string())
 }
--- a/crates/mothplank/tests/check.rs
+++ b/crates/mothplank/tests/check.rs
@@ -1,4 +1,4 @@
-//! `mothplank check`: reports every fault with its line, and exits with a code of its own.
+//! `mothplank check`: reports every fault with its line, and exits with 3 if there is one.
 
 use std::process::Output;
 
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_reader_that_has_seen_enough_draws_no_complaint() {
+fn a_closed_output_pipe_is_not_reported_as_an_error() {
     use std::process::Stdio;
     let mut command = env::command(&["check", EIGHT]);
     let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
--- a/crates/mothplank/tests/logs_command.rs
+++ b/crates/mothplank/tests/logs_command.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn tables_tell_what_became_of_requests() {
+fn tables_show_the_results_of_requests() {
     let folder = tempfile::tempdir().expect("a folder");
     let output = logs(folder.path(), &[]);
     assert!(output.status.success());
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn one_request_has_a_story() {
+fn the_lines_of_one_request_are_printed() {
     let folder = tempfile::tempdir().expect("a folder");
     let output = logs(folder.path(), &["--id", "a1"]);
     insta::assert_snapshot!(text(&output.stdout), @r#"
--- a/crates/mothplank/tests/request_cost.rs
+++ b/crates/mothplank/tests/request_cost.rs
@@ -176,7 +176,7 @@
     let caller = Caller::open(env.runtime.handle().clone(), CALLERS);
     measure_alone(&env, &caller, size(100, 3_000));
     measure_rate(&env, &caller, size(500, KEYS));
-    // Repeatable requests are not counted: they may be hedged and so run twice.
+    // The repeatable requests with a key are not counted: they may be hedged and so run twice.
     check_runs_once(&env, size(100, 3_000) + size(500, KEYS), |key| !key.starts_with("alone-1-"));
 }
 
--- a/crates/settings/tests/service.rs
+++ b/crates/settings/tests/service.rs
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn unusual_documents_draw_warnings_only() {
+fn unusual_settings_cause_only_warnings() {
     let base = GOOD.replace("\"expected\": 20", "\"expected\": 9000");
     let base = base.replace("10.0.0.31:8000", "10.0.0.11:8000");
     let document = document(&base, &[]);
