--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -9,7 +9,7 @@
 use arc_swap::ArcSwapOption;
 use fleet::{Fleet, FleetConfig};
 use futures_util::FutureExt;
-use settings::{ControlPart, NodeSettings};
+use settings::{ControlSettings, NodeSettings};
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout};
@@ -185,7 +185,7 @@
     })
 }
 
-fn parts(settings: &NodeSettings) -> StepResult<(ControlPart, settings::Member)> {
+fn parts(settings: &NodeSettings) -> StepResult<(ControlSettings, settings::Member)> {
     let fault = |why: &str| StepError::new("read settings", why.to_owned()).at(&settings.vm);
     let part = settings.control.clone().ok_or_else(|| fault("add the part \"control\""))?;
     let member = settings.members.iter().find(|it| it.vm == settings.vm);
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -15,7 +15,7 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 use serde_json::{Value, json};
-use settings::{ControlPart, Member, NodeSettings, Operator};
+use settings::{ControlSettings, Member, NodeSettings, Operator};
 use sha2::{Digest, Sha256};
 use standins::Ports;
 use types::ByteSize;
@@ -70,7 +70,7 @@
             secret: "a secret of the cluster".to_owned(),
             members: members.clone(),
             entry: None,
-            control: Some(ControlPart {
+            control: Some(ControlSettings {
                 data: folder.path().join(it.vm.as_str()),
                 operators: vec![Operator {
                     name: "ana".parse().expect("a name"),
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -7,7 +7,7 @@
 
 use follower::{Event, Follower, FollowerConfig};
 use routing::Router;
-use settings::{EntryPart, NodeSettings};
+use settings::{EntrySettings, NodeSettings};
 use tokio::runtime::Handle;
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -60,7 +60,7 @@
     /// The incarnation of this process.
     pub owner: Incarnation,
     /// The entry's part of the settings.
-    pub part: EntryPart,
+    pub part: EntrySettings,
 }
 
 /// Starts an entry on the current tokio runtime, with a session of its own.
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use entry::{Entry, EntryConfig, Session};
 use follower::{ClaimError, Claimed, Snapshot};
 use serde_json::{Value, json};
-use settings::EntryPart;
+use settings::EntrySettings;
 use sha2::{Digest, Sha256};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -202,7 +202,7 @@
     *session.snapshot.lock().unwrap() = Some(Arc::new(Snapshot { service }));
     let (sender, events) = mpsc::channel(4);
     std::mem::forget(sender);
-    let part = EntryPart {
+    let part = EntrySettings {
         listen: "127.0.0.1:0".parse().unwrap(),
         threads: 2,
         connections: 64,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use document::{DocumentFiles, read_document};
 pub use fault::{Fault, Faults};
-pub use node::{ControlPart, EntryPart, Member, NodeSettings, Operator};
+pub use node::{ControlSettings, EntrySettings, Member, NodeSettings, Operator};
 pub use nodes::check_nodes;
 pub use reference::{Key, node_keys, service_keys};
 pub use service::{check, resolve, warnings};
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -31,10 +31,10 @@
     pub members: Vec<Member>,
     /// The settings of `mothplank entry`; `None` where no entry runs.
     #[serde(default)]
-    pub entry: Option<EntryPart>,
+    pub entry: Option<EntrySettings>,
     /// The settings of `mothplank control`; `None` where no control member runs.
     #[serde(default)]
-    pub control: Option<ControlPart>,
+    pub control: Option<ControlSettings>,
     /// The log level: `error`, `warn`, `info`, `debug` or `trace`.
     #[serde(default = "info")]
     pub log: String,
@@ -99,7 +99,7 @@
 /// The settings of `mothplank entry`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct EntryPart {
+pub struct EntrySettings {
     /// The address for callers, which also serves `/livez`, `/readyz`, `/metrics` and `/status`.
     pub listen: SocketAddr,
     /// The number of threads that serve callers.
@@ -117,7 +117,7 @@
 /// The settings of `mothplank control`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ControlPart {
+pub struct ControlSettings {
     /// The data folder.
     pub data: PathBuf,
     /// The operators who may control the service.
--- a/crates/standins/examples/common/mod.rs
+++ b/crates/standins/examples/common/mod.rs
@@ -10,7 +10,7 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 use serde_json::Value;
-use settings::{ControlPart, EntryPart, Operator};
+use settings::{ControlSettings, EntrySettings, Operator};
 use sha2::{Digest, Sha256};
 use types::{ByteSize, Millis, StepError, StepResult};
 
@@ -38,15 +38,15 @@
 ///
 /// # Panics
 /// Never: the operator's name is valid.
-pub(crate) fn control(data: PathBuf) -> ControlPart {
+pub(crate) fn control(data: PathBuf) -> ControlSettings {
     let name = "operator".parse().expect("a valid name");
     let operators = vec![Operator { name, token: hash(TOKEN) }];
-    ControlPart { data, operators, platform: None, log_size: ByteSize(8 << 20) }
+    ControlSettings { data, operators, platform: None, log_size: ByteSize(8 << 20) }
 }
 
 /// Returns the settings of an entry.
-pub(crate) fn entry(listen: SocketAddr) -> EntryPart {
-    EntryPart { listen, threads: 4, connections: 4_096, notice: Millis(200) }
+pub(crate) fn entry(listen: SocketAddr) -> EntrySettings {
+    EntrySettings { listen, threads: 4, connections: 4_096, notice: Millis(200) }
 }
 
 /// Removes absent fields: a settings file leaves them out.
