--- a/crates/standins/examples/common/mod.rs
+++ b/crates/standins/examples/common/mod.rs
@@ -10,7 +10,7 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 use serde_json::Value;
-use settings::{ControlPart, EntryPart, Operator};
+use settings::{ControlSettings, EntrySettings, Operator};
 use sha2::{Digest, Sha256};
 use types::{ByteSize, Millis, StepError, StepResult};
 
@@ -39,15 +39,15 @@
 ///
 /// # Panics
 /// Never panics, because the operator's name is valid.
-pub(crate) fn control_settings(data: PathBuf) -> ControlPart {
+pub(crate) fn control_settings(data: PathBuf) -> ControlSettings {
     let name = "operator".parse().expect("a valid name");
     let operators = vec![Operator { name, token: key_hash(TOKEN) }];
-    ControlPart { data, operators, platform: None, log_size: ByteSize(8 << 20) }
+    ControlSettings { data, operators, platform: None, log_size: ByteSize(8 << 20) }
 }
 
 /// Returns the settings of an entry.
-pub(crate) fn entry_settings(listen: SocketAddr) -> EntryPart {
-    EntryPart { listen, threads: 4, connections: 4_096, notice: Millis(200) }
+pub(crate) fn entry_settings(listen: SocketAddr) -> EntrySettings {
+    EntrySettings { listen, threads: 4, connections: 4_096, notice: Millis(200) }
 }
 
 /// Removes fields with the value `null`: settings files leave absent fields out.
