--- a/crates/mothplank/tests/request_once.rs
+++ b/crates/mothplank/tests/request_once.rs
@@ -20,7 +20,7 @@
 const CALLERS: usize = 48;
 
 /// The maximum number of attempts for one key while faults are injected.
-const MAX_ATTEMPTS: usize = 10;
+const MAX_SENDS: usize = 10;
 
 /// How long a process is stopped or cut off: longer than the time after which a silent entry counts
 /// as lost, so that it loses its claims.
@@ -122,13 +122,13 @@
         outcome
     }
 
-    /// Sends a key up to [`MAX_ATTEMPTS`] times, sometimes three at once, and also after its first
+    /// Sends a key up to [`MAX_SENDS`] times, sometimes three at once, and also after its first
     /// answer.
     async fn resend(&self, key: &str, pipeline: &str) {
-        let max_attempts = rand::rng().random_range(2..=MAX_ATTEMPTS);
+        let max_sends = rand::rng().random_range(2..=MAX_SENDS);
         let (mut sent, mut complete) = (0, 0);
-        while sent < max_attempts && complete < 3 {
-            let at_once = if rand::rng().random_bool(0.2) { 3.min(max_attempts - sent) } else { 1 };
+        while sent < max_sends && complete < 3 {
+            let at_once = if rand::rng().random_bool(0.2) { 3.min(max_sends - sent) } else { 1 };
             let attempts = (0..at_once).map(|_| self.send(key, pipeline, FAULT_DEADLINE));
             let outcomes = join_all(attempts).await;
             sent += at_once;
--- a/crates/standins/examples/common/mod.rs
+++ b/crates/standins/examples/common/mod.rs
@@ -18,7 +18,7 @@
 pub(crate) const TOKEN: &str = "token-of-the-operator";
 
 /// The maximum number of attempts of a step.
-const MAX_ATTEMPTS: u32 = 600;
+const MAX_POLLS: u32 = 600;
 /// The pause between two attempts of a step.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
@@ -102,7 +102,7 @@
     f: impl Fn() -> F,
 ) -> StepResult<T> {
     let mut last = StepError::new(step, "not tried");
-    for _ in 0..MAX_ATTEMPTS {
+    for _ in 0..MAX_POLLS {
         match f().await {
             Ok(value) => return Ok(value),
             Err(e) => last = e,
