--- a/crates/control/src/folder/mod.rs
+++ b/crates/control/src/folder/mod.rs
@@ -91,7 +91,7 @@
         transfer_ticks: TRANSFER_TICKS,
         max_entries: MAX_ENTRIES_PER_MESSAGE,
         max_bytes: MAX_BYTES_PER_MESSAGE,
-        snapshot_part: SNAPSHOT_PART_BYTES,
+        part_bytes: SNAPSHOT_PART_BYTES,
         seed: rand::random(),
     }
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -16,7 +16,7 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 use serde_json::{Value, json};
-use settings::{ControlPart, Member, NodeSettings, Operator};
+use settings::{ControlSettings, Member, NodeSettings, Operator};
 use sha2::{Digest, Sha256};
 use standins::Ports;
 use types::ByteSize;
@@ -59,8 +59,8 @@
         let member = |(at, ports): (usize, &Ports)| Member {
             vm: format!("c{}", at + 1).parse().expect("a name"),
             site: "north".parse().expect("a name"),
-            wire: ports.free(),
-            http: ports.free(),
+            wire: ports.reserve(),
+            http: ports.reserve(),
             spare: at + spares >= count,
         };
         let members: Vec<Member> = ports.iter().enumerate().map(member).collect();
@@ -71,7 +71,7 @@
             secret: "a secret of the cluster".to_owned(),
             members: members.clone(),
             entry: None,
-            control: Some(ControlPart {
+            control: Some(ControlSettings {
                 data: folder.path().join(it.vm.as_str()),
                 operators: vec![Operator {
                     name: "ana".parse().expect("a name"),
--- a/crates/registry/src/driver.rs
+++ b/crates/registry/src/driver.rs
@@ -288,7 +288,7 @@
 
     /// Sends the messages that waited for writes that have completed.
     fn handle_writes(&mut self) -> StepResult<()> {
-        while let Some(saved) = self.journal.saved(&mut self.node)? {
+        while let Some(saved) = self.journal.next_saved(&mut self.node)? {
             if saved.took > SLOW_WRITE {
                 log::warn!(ms = saved.took.as_millis() as u64; "the disk was slow to sync");
             }
@@ -346,7 +346,7 @@
                 self.plan = Arc::new(decode(&snapshot.data)?);
                 self.applied = snapshot.index;
             }
-            for message in ready.early.into_iter().chain(messages) {
+            for message in ready.immediate.into_iter().chain(messages) {
                 self.send(message);
             }
             let mut committed = Vec::new();
@@ -363,10 +363,10 @@
             for position in committed {
                 self.answer_put(position);
             }
-            self.handle_reads(ready.reads, ready.lost_reads);
+            self.handle_reads(ready.reads, ready.failed_reads);
             self.answer_reads();
         }
-        if self.journal.log_size().0 > MAX_LOG_BYTES && !self.journal.compacts() {
+        if self.journal.log_size().0 > MAX_LOG_BYTES && !self.journal.is_compacting() {
             self.compact()?;
         }
         Ok(())
@@ -416,7 +416,7 @@
         transfer_ticks: TRANSFER_TICKS,
         max_entries: 64,
         max_bytes: 1 << 20,
-        snapshot_part: SNAPSHOT_PART_BYTES,
+        part_bytes: SNAPSHOT_PART_BYTES,
         seed: rand::random(),
     }
 }
--- a/crates/replica/tests/journal.rs
+++ b/crates/replica/tests/journal.rs
@@ -1,4 +1,4 @@
-//! What waits for the disk, and what a restart finds.
+//! Tests of the messages and snapshots that wait for the disk, and of a restart.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,11 +9,11 @@
     Body, Config, Entry, Membership, Message, Node, Payload, Ready, Restored, Snapshot,
 };
 use disk::Store;
-use replica::{Journal, Saved};
+use replica::{Journal, SavedWrite};
 use types::{LogIndex, NodeId, Term};
 
 /// Far longer than a write takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn config() -> Config {
     Config {
@@ -26,18 +26,18 @@
         transfer_ticks: 30,
         max_entries: 16,
         max_bytes: 4096,
-        snapshot_part: 4096,
+        part_bytes: 4096,
         seed: 1,
     }
 }
 
-fn beginning() -> Snapshot {
+fn first_snapshot() -> Snapshot {
     let voters = (1..=3).map(|id| (NodeId(id), Vec::new())).collect();
     let membership = Membership { voters, learners: BTreeMap::new() };
     Snapshot { index: LogIndex(1), term: Term(1), membership, data: Vec::new() }
 }
 
-/// A follower's folder, node and journal.
+/// The folder, node and journal of a follower.
 struct Follower {
     node: Node,
     journal: Journal,
@@ -46,23 +46,24 @@
 
 impl Follower {
     fn open(folder: &Path) -> Self {
-        let (mut store, found) = Store::open(folder).expect("it opens");
-        let mut restored = replica::restore(&found).expect("it decodes");
+        let (mut store, found) = Store::open(folder).expect("the folder opens");
+        let mut restored = replica::restore(&found).expect("the records decode");
         if found.identity.is_none() {
-            store.set_identity(b"1").expect("it is written");
-            let data = replica::encode(&beginning()).expect("it encodes");
-            store.install(LogIndex(1), &data).expect("it is written");
-            restored = Restored { snapshot: Some(beginning()), ..Restored::default() };
+            store.set_identity(b"1").expect("the write succeeds");
+            let data = replica::encode(&first_snapshot()).expect("the value encodes");
+            store.install(LogIndex(1), &data).expect("the write succeeds");
+            restored = Restored { snapshot: Some(first_snapshot()), ..Restored::default() };
         }
         let (wake, woken) = channel();
         let journal = Journal::spawn(store, move || {
             let _ = wake.send(());
         });
-        let journal = journal.expect("it starts");
+        let journal = journal.expect("the thread starts");
         Self { node: Node::new(config(), restored), journal, woken }
     }
 
-    /// Takes so many entries from the leader, all of them committed by the others.
+    /// Handles an `Append` with `count` entries from the leader, all of them committed by the
+    /// others.
     fn append(&mut self, count: u64) -> Ready {
         let last = self.node.status().last;
         let entry = |at| Entry {
@@ -72,7 +73,7 @@
         };
         let body = Body::Append {
             prior: last,
-            prior_term: self.node.term_at(last).expect("it holds it"),
+            prior_term: self.node.term_at(last).expect("the log holds the entry"),
             entries: (1..=count).map(entry).collect(),
             commit: LogIndex(last.0 + count),
             round: 0,
@@ -81,20 +82,23 @@
         self.node.ready()
     }
 
-    fn wait_saved(&mut self) -> Saved {
-        self.woken.recv_timeout(PATIENCE).expect("a write ends");
-        self.journal.saved(&mut self.node).expect("it is written").expect("a write has ended")
+    fn wait_saved(&mut self) -> SavedWrite {
+        self.woken.recv_timeout(TIMEOUT).expect("a write ends");
+        self.journal
+            .next_saved(&mut self.node)
+            .expect("the write succeeds")
+            .expect("a write has ended")
     }
 }
 
-/// Guards against an acknowledgement that leaves before its entries are on the disk.
+/// Guards against an acknowledgement that is sent before its entries are on disk.
 #[test]
 fn acknowledgements_wait_and_commits_do_not() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let mut follower = Follower::open(folder.path());
     let mut ready = follower.append(3);
     assert_eq!(ready.committed.len(), 3);
-    let at_once = follower.journal.write(&mut ready).expect("it is ordered");
+    let at_once = follower.journal.write(&mut ready).expect("the write is submitted");
     assert!(at_once.is_empty(), "{at_once:?}");
     assert_eq!(follower.node.synced_index(), LogIndex(1));
     let saved = follower.wait_saved();
@@ -103,29 +107,30 @@
     assert_eq!(follower.node.synced_index(), LogIndex(4));
 }
 
-/// Guards against a snapshot of a state that is ahead of the log on the disk: a restart would find a gap.
+/// Guards against a snapshot of a state that is ahead of the log on disk: a restart would find a
+/// gap.
 #[test]
 fn a_snapshot_waits_for_the_log_that_it_covers() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let mut follower = Follower::open(folder.path());
     let mut ready = follower.append(3);
-    let head = follower.node.snapshot_head(LogIndex(4)).expect("it is applied");
+    let head = follower.node.snapshot_head(LogIndex(4)).expect("the entry is applied");
     let snapshot = Snapshot { data: b"state".to_vec(), ..head };
-    follower.journal.snapshot(&follower.node, snapshot.clone()).expect("it is taken");
-    follower.journal.write(&mut ready).expect("it is ordered");
+    follower.journal.snapshot(&follower.node, snapshot.clone()).expect("the snapshot is accepted");
+    follower.journal.write(&mut ready).expect("the write is submitted");
     let mut later = follower.append(2);
-    assert!(!later.writes(), "one write at a time");
+    assert!(!later.has_writes(), "one write at a time");
     assert!(!follower.wait_saved().compacted);
-    assert!(follower.journal.compacts());
+    assert!(follower.journal.is_compacting());
     let mut rest = follower.node.ready();
-    follower.journal.write(&mut rest).expect("it is ordered");
-    follower.journal.write(&mut later).expect("it is ordered");
+    follower.journal.write(&mut rest).expect("the write is submitted");
+    follower.journal.write(&mut later).expect("the write is submitted");
     assert!(follower.wait_saved().compacted);
     assert!(!follower.wait_saved().compacted);
     drop(follower);
 
-    let (_, found) = Store::open(folder.path()).expect("it opens");
-    let restored = replica::restore(&found).expect("it decodes");
+    let (_, found) = Store::open(folder.path()).expect("the folder opens");
+    let restored = replica::restore(&found).expect("the records decode");
     assert_eq!(restored.snapshot, Some(snapshot));
     let indices: Vec<u64> = restored.entries.iter().map(|it| it.index.0).collect();
     assert_eq!(indices, [5, 6]);
