--- a/crates/gateway/src/batch/client.rs
+++ b/crates/gateway/src/batch/client.rs
@@ -42,11 +42,11 @@
 /// The number of owners that a job is submitted to at most.
 const MAX_OWNERS: usize = 3;
 
-/// How often an entry without a registry member asks other entries for the registry's news.
-const NEWS_INTERVAL: Duration = Duration::from_millis(500);
+/// How often an entry without a registry member asks other entries for the registry's lists.
+const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How many entries it asks each time; some of them may have no member either.
-const NEWS_PEERS: usize = 3;
+/// How many entries it asks each time; some of them may be connected to no member either.
+const MAX_SUBSCRIBED_PEERS: usize = 3;
 
 /// The pieces of one stage of one request.
 pub(crate) struct JobSpec {
@@ -248,20 +248,23 @@
         first.map(|it| it.1).or(Some(self.own_address))
     }
 
-    /// Asks other entries for the registry's news while this one is connected to no registry
+    /// Asks other entries for the registry's lists while this one is connected to no registry
     /// member. Runs for as long as the process does.
-    pub(crate) async fn subscribe_news(self: Arc<Self>, news: watch::Receiver<RegistryState>) {
-        let mut ticks = interval(NEWS_INTERVAL);
+    pub(crate) async fn subscribe_relays(
+        self: Arc<Self>,
+        registry_state: watch::Receiver<RegistryState>,
+    ) {
+        let mut ticks = interval(SUBSCRIBE_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            if news.borrow().members > 0 {
+            if registry_state.borrow().members > 0 {
                 continue;
             }
             let peers = self.shared.peers();
             let addresses = peers.iter().map(|it| it.address);
-            for address in addresses.sample(&mut rand::rng(), NEWS_PEERS) {
-                self.link(address).send(ToOwner::SubscribeNews);
+            for address in addresses.sample(&mut rand::rng(), MAX_SUBSCRIBED_PEERS) {
+                self.link(address).send(ToOwner::SubscribeRelays);
             }
         }
     }
--- a/crates/gateway/src/batch/client/job.rs
+++ b/crates/gateway/src/batch/client/job.rs
@@ -49,7 +49,7 @@
             }
             FromOwner::Accepted(_)
             | FromOwner::Heartbeat
-            | FromOwner::RegistryState(_)
+            | FromOwner::Relay(_)
             | FromOwner::Backlog(..)
             | FromOwner::SectionBacklog(_) => return None,
         };
--- a/crates/gateway/src/batch/link.rs
+++ b/crates/gateway/src/batch/link.rs
@@ -25,9 +25,9 @@
 /// sends none.
 const LEVEL_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// How long a subscription to the registry's news lasts: several of the intervals at which entries
+/// How long a subscription to the registry's lists lasts: several of the intervals at which entries
 /// without a registry member renew it.
-pub(crate) const NEWS_SUBSCRIPTION: Duration = Duration::from_secs(2);
+pub(crate) const RELAY_SUBSCRIPTION_TIME: Duration = Duration::from_secs(2);
 
 /// Where messages of owners go that belong to no single job.
 #[derive(Clone)]
@@ -119,8 +119,8 @@
                 self.sinks.backlogs.set(section, it.backlog);
                 return;
             }
-            FromOwner::RegistryState(relay) => {
-                // If the channel is full, the news that waits in it is as recent.
+            FromOwner::Relay(relay) => {
+                // If the channel is full, the lists that wait in it are as recent.
                 let _ = self.sinks.relays.try_send(Relay::clone(relay));
                 return;
             }
@@ -174,14 +174,14 @@
 pub(crate) async fn accept(
     mut listener: Listener,
     owner: Owner,
-    news: watch::Receiver<RegistryState>,
+    registry_state: watch::Receiver<RegistryState>,
 ) {
     let mut origin = 0;
     loop {
         match listener.accept().await {
             Ok((hello, connection)) if hello.kind == Kind::Entry => {
                 origin += 1;
-                tokio::spawn(serve(origin, connection, owner.clone(), news.clone()));
+                tokio::spawn(serve(origin, connection, owner.clone(), registry_state.clone()));
             }
             Ok(_) => {}
             Err(error) => {
@@ -198,7 +198,7 @@
     origin: u64,
     connection: Connection,
     owner: Owner,
-    mut news: watch::Receiver<RegistryState>,
+    mut registry_state: watch::Receiver<RegistryState>,
 ) {
     let (sender, mut receiver) = connection.split::<FromOwner, ToOwner>();
     sender.wait_level(LEVEL_TIMEOUT).await;
@@ -206,7 +206,7 @@
     let mut heartbeat = interval(HEARTBEAT_INTERVAL);
     heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut left: HashMap<u64, usize> = HashMap::new();
-    let mut feed = NewsFeed::default();
+    let mut subscription = RelaySubscription::default();
     loop {
         let busy = !left.is_empty();
         let answer = tokio::select! {
@@ -222,9 +222,9 @@
                             left.remove(id);
                         }
                         ToOwner::Free(_) => {}
-                        ToOwner::SubscribeNews => {
-                            feed.until = Some(Instant::now() + NEWS_SUBSCRIPTION);
-                            news.mark_changed();
+                        ToOwner::SubscribeRelays => {
+                            subscription.until = Some(Instant::now() + RELAY_SUBSCRIPTION_TIME);
+                            registry_state.mark_changed();
                             continue;
                         }
                     }
@@ -238,9 +238,9 @@
                 None => break,
             },
             _ = heartbeat.tick(), if busy => FromOwner::Heartbeat,
-            Ok(()) = news.changed(), if feed.is_active() => {
-                match feed.next(&news.borrow_and_update()) {
-                    Some(relay) => FromOwner::RegistryState(Box::new(relay)),
+            Ok(()) = registry_state.changed(), if subscription.is_active() => {
+                match subscription.next(&registry_state.borrow_and_update()) {
+                    Some(relay) => FromOwner::Relay(Box::new(relay)),
                     None => continue,
                 }
             }
@@ -265,25 +265,25 @@
     owner.send(OwnerEvent::Disconnected(origin));
 }
 
-/// The registry's news that is sent to one submitter.
+/// One submitter's subscription to the registry's lists.
 #[derive(Default)]
-struct NewsFeed {
+struct RelaySubscription {
     until: Option<Instant>,
     sent: (Stamp, Stamp),
 }
 
-impl NewsFeed {
+impl RelaySubscription {
     fn is_active(&self) -> bool {
         self.until.is_some_and(|it| Instant::now() < it)
     }
 
-    /// Returns the news to send, if the submitter does not have it yet.
-    fn next(&mut self, news: &RegistryState) -> Option<Relay> {
-        let newest = (news.entries_stamp, news.upstreams_stamp);
+    /// Returns the lists to send, if the submitter does not have them yet.
+    fn next(&mut self, registry_state: &RegistryState) -> Option<Relay> {
+        let newest = (registry_state.entries_stamp, registry_state.upstreams_stamp);
         if newest == self.sent {
             return None;
         }
         self.sent = newest;
-        Some(news.relay())
+        Some(registry_state.relay())
     }
 }
--- a/crates/gateway/src/batch/message.rs
+++ b/crates/gateway/src/batch/message.rs
@@ -54,10 +54,9 @@
     Cancel(u64),
     /// Releases results.
     Free(Vec<String>),
-    /// Asks for the registry's news for the duration of
-    /// [`NEWS_SUBSCRIPTION`](super::link::NEWS_SUBSCRIPTION), because the sender is connected to no
-    /// registry member.
-    SubscribeNews,
+    /// Asks for the registry's lists, because the sender is connected to no registry member. The
+    /// request is valid for [`RELAY_SUBSCRIPTION_TIME`](super::link::RELAY_SUBSCRIPTION_TIME).
+    SubscribeRelays,
     /// Submits a job to the section of this failure domain.
     SubmitToDomain(String, Job),
     /// Submits a job with the digest of its request.
@@ -123,8 +122,8 @@
     Heartbeat,
     /// The expected wait of pieces of a service at this owner, by rank, in ms.
     Backlog(String, [u32; RANKS]),
-    /// The registry's news as the owner knows it.
-    RegistryState(Box<Relay>),
+    /// The registry's lists of entries and upstreams, as the owner has them.
+    Relay(Box<Relay>),
     /// The backlog of a section.
     SectionBacklog(SectionBacklog),
 }
--- a/crates/gateway/src/batch/owner.rs
+++ b/crates/gateway/src/batch/owner.rs
@@ -211,8 +211,8 @@
                 self.queues.values_mut().for_each(|it| it.cancel(key));
             }
             OwnerEvent::Message(_, ToOwner::Free(handles), _) => self.release(handles),
-            // The connection's own task sends the news.
-            OwnerEvent::Message(_, ToOwner::SubscribeNews, _) => {}
+            // The connection's own task sends the lists.
+            OwnerEvent::Message(_, ToOwner::SubscribeRelays, _) => {}
             OwnerEvent::Disconnected(origin) => {
                 self.peers.remove(&origin);
                 self.jobs.retain(|key, _| key.origin != origin);
--- a/crates/gateway/src/batch/owner/results.rs
+++ b/crates/gateway/src/batch/owner/results.rs
@@ -83,14 +83,14 @@
         }
         match end.outcome {
             Ok(ref answer) => {
-                let life = end.upstream.observe(answer.start_time);
-                if life == Incarnation::Ended {
+                let incarnation = end.upstream.observe(answer.start_time);
+                if incarnation == Incarnation::Ended {
                     log::warn!(upstream:% = end.upstream.id, pieces = end.pieces.len();
                         "ignored results from an earlier incarnation of an upstream; requeuing their pieces");
                     self.requeue_all(&end.pieces, &requeued, now);
                     return;
                 }
-                if life == Incarnation::Newer
+                if incarnation == Incarnation::Newer
                     && let Some(queue) = self.queues.get_mut(&end.section)
                 {
                     queue.restarted(&end.upstream.id);
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! The upstreams by service, updated from the registry's news.
+//! The upstreams by service, updated from the registry's lists.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -28,13 +28,13 @@
     /// health.
     pub(crate) fn next(
         &self,
-        news: &RegistryState,
+        registry_state: &RegistryState,
         plan: &Plan,
         entries: usize,
         link: LinkRate,
     ) -> Self {
-        let mut next = Self { listed: news.upstreams_stamp, ..Self::default() };
-        for it in news.upstreams.iter() {
+        let mut next = Self { listed: registry_state.upstreams_stamp, ..Self::default() };
+        for it in registry_state.upstreams.iter() {
             let connection_share = connection_share(plan, &it.service, entries);
             let upstream = match self.by_id.get(it.id.as_str()) {
                 Some(known) if known.address == it.address => Arc::clone(known),
@@ -53,7 +53,7 @@
                 upstream.close_idle(true);
             }
         }
-        next.split(plan, news.entries.len(), link);
+        next.split(plan, registry_state.entries.len(), link);
         next
     }
 
@@ -115,10 +115,10 @@
         LoadReport { upstreams_stamp: self.listed, loads }
     }
 
-    /// Sets the load of other entries at each upstream: the total in `digest`, less this entry's
+    /// Sets the load of other entries at each upstream: the total in `total`, less this entry's
     /// own share in `own`.
-    pub(crate) fn apply_digest(&self, digest: &LoadReport, own: &LoadReport) {
-        if digest.upstreams_stamp != self.listed {
+    pub(crate) fn apply_total_loads(&self, total: &LoadReport, own: &LoadReport) {
+        if total.upstreams_stamp != self.listed {
             return;
         }
         let find = |all: &[UpstreamLoad], at: u32| {
@@ -126,7 +126,7 @@
             found.map_or_else(|_| UpstreamLoad::default(), |it| all[it])
         };
         for (at, upstream) in self.positions.iter().enumerate() {
-            let all = find(&digest.loads, at as u32);
+            let all = find(&total.loads, at as u32);
             let own = find(&own.loads, at as u32);
             let running = all.running.saturating_sub(own.running);
             upstream.set_peer_load(running, all.tokens.saturating_sub(own.tokens));
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -31,7 +31,7 @@
 
 /// How long the loads of other entries are valid without a new report. Older ones mislead more than
 /// none.
-const DIGEST_LIFETIME: Duration = Duration::from_millis(1_200);
+const TOTAL_LOADS_LIFETIME: Duration = Duration::from_millis(1_200);
 
 /// How long a request waits for the first plan and the first lists of upstreams and entries. After
 /// a power loss of the whole deployment they arrive within about a second of the entry's start;
@@ -161,18 +161,21 @@
         self.is_initialized() && !self.drain.is_ending()
     }
 
-    /// Applies the registry's news until the sender is gone.
-    pub(crate) async fn follow_news(self: Arc<Self>, mut news: watch::Receiver<RegistryState>) {
+    /// Applies the registry's plan and lists as they arrive, until the sender is gone.
+    pub(crate) async fn follow_registry(
+        self: Arc<Self>,
+        mut registry_state: watch::Receiver<RegistryState>,
+    ) {
         let mut idle_check = interval(IDLE_CHECK_INTERVAL);
         idle_check.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                changed = news.changed() => {
+                changed = registry_state.changed() => {
                     if changed.is_err() {
                         return;
                     }
-                    let news = news.borrow_and_update().clone();
-                    self.apply_news(&news);
+                    let registry_state = registry_state.borrow_and_update().clone();
+                    self.apply_registry_state(&registry_state);
                 }
                 _ = idle_check.tick() => {
                     self.directory().all().for_each(|it| it.close_idle(false));
@@ -186,7 +189,7 @@
     pub(crate) async fn exchange_loads(
         self: Arc<Self>,
         reports: mpsc::Sender<LoadReport>,
-        mut digest: watch::Receiver<Arc<LoadReport>>,
+        mut total_loads: watch::Receiver<Arc<LoadReport>>,
     ) {
         let mut next = Instant::now();
         let mut reported = LoadReport::default();
@@ -196,7 +199,7 @@
                 () = sleep_until(next) => {
                     let directory = self.directory();
                     next = Instant::now() + loads_period(directory.len());
-                    if received.elapsed() > DIGEST_LIFETIME {
+                    if received.elapsed() > TOTAL_LOADS_LIFETIME {
                         directory.all().for_each(|it| it.set_peer_load(0, 0));
                     }
                     let report = directory.report();
@@ -204,39 +207,39 @@
                         reported = report;
                     }
                 }
-                changed = digest.changed() => {
+                changed = total_loads.changed() => {
                     if changed.is_err() {
                         return;
                     }
                     received = Instant::now();
-                    let digest = Arc::clone(&digest.borrow_and_update());
-                    self.directory().apply_digest(&digest, &reported);
+                    let total = Arc::clone(&total_loads.borrow_and_update());
+                    self.directory().apply_total_loads(&total, &reported);
                 }
             }
         }
     }
 
-    fn apply_news(&self, news: &RegistryState) {
-        let others = news.entries.iter().filter(|it| it.address != self.own).cloned();
+    fn apply_registry_state(&self, registry_state: &RegistryState) {
+        let others = registry_state.entries.iter().filter(|it| it.address != self.own).cloned();
         let others: Vec<EntryInfo> = others.collect();
-        let listed = others.len() < news.entries.len();
+        let listed = others.len() < registry_state.entries.len();
         if self.listed.swap(listed, Ordering::Relaxed) != listed {
-            log::info!(listed, others = others.len(), seated:% = news.entries_stamp;
+            log::info!(listed, others = others.len(), seated:% = registry_state.entries_stamp;
                 "this entry was added to or removed from the list of entries");
         }
         self.entries.fetch_max(others.len() + 1, Ordering::Relaxed);
         self.peers.store(Arc::new(others));
-        if news.entries_stamp > Stamp::default() {
+        if registry_state.entries_stamp > Stamp::default() {
             self.entries_known.store(true, Ordering::Relaxed);
         }
-        if let Some((version, text)) = &news.plan {
+        if let Some((version, text)) = &registry_state.plan {
             let current = self.plan.load().as_ref().map(|it| it.version);
             if current.is_none_or(|it| it < *version) {
                 self.apply_plan(text);
             }
         }
         let plan = self.plan().unwrap_or_default();
-        let next = self.directory().next(news, &plan, self.entries(), self.link);
+        let next = self.directory().next(registry_state, &plan, self.entries(), self.link);
         self.directory.store(Arc::new(next));
         self.updated.notify_waiters();
     }
--- a/crates/gateway/src/shared/tests.rs
+++ b/crates/gateway/src/shared/tests.rs
@@ -93,10 +93,10 @@
 #[test]
 fn an_entry_is_ready_once_it_knows_all_that_it_needs() {
     for case in CASES {
-        let mut news = RegistryState::default();
+        let mut registry_state = RegistryState::default();
         let stamp = Stamp { term: 1, count: 1 };
         if case.plan {
-            news.plan = Some((Version(1), Arc::default()));
+            registry_state.plan = Some((Version(1), Arc::default()));
         }
         if case.upstreams {
             let address = SocketAddr::from(([127, 0, 0, 1], 2));
@@ -108,13 +108,14 @@
                 slots: 1,
                 health: Health::Ready,
             };
-            (news.upstreams_stamp, news.upstreams) = (stamp, Arc::new(vec![upstream]));
+            (registry_state.upstreams_stamp, registry_state.upstreams) =
+                (stamp, Arc::new(vec![upstream]));
         }
         if case.entries {
-            news.entries_stamp = stamp;
+            registry_state.entries_stamp = stamp;
         }
         let shared = shared();
-        shared.apply_news(&news);
+        shared.apply_registry_state(&registry_state);
         assert_eq!(shared.is_ready(), case.ready, "{}", case.name);
     }
 }
