--- a/crates/gateway/src/batch/owner.rs
+++ b/crates/gateway/src/batch/owner.rs
@@ -3,7 +3,7 @@
 mod jobs;
 mod notify;
 mod results;
-mod room;
+mod space;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use crate::upstream::Upstream;
 
 use self::jobs::SubmitContext;
-use self::room::RoomQuery;
+use self::space::SpaceQuery;
 
 /// How often the queues are checked if no event arrives.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
@@ -64,7 +64,7 @@
     /// A call has ended.
     CallEnded(CallEnd),
     /// An upstream reported its free space for results, or did not answer.
-    RoomReport(Arc<Upstream>, Section, Option<RoomReport>),
+    SpaceReport(Arc<Upstream>, Section, Option<RoomReport>),
     /// An upstream dropped results as requested.
     ResultsFreed(Arc<Upstream>, Vec<Handle>),
 }
@@ -121,7 +121,7 @@
     jobs: HashMap<JobKey, OpenJob>,
     in_flight: HashMap<Arc<str>, InFlightCall>,
     /// The state of the query for free space at each upstream.
-    room_queries: HashMap<Arc<str>, RoomQuery>,
+    space_queries: HashMap<Arc<str>, SpaceQuery>,
     /// The number of the last call.
     last_call: u64,
     /// The released results by the address of the upstream that stores them, and when upstreams
@@ -148,7 +148,7 @@
             queues: HashMap::new(),
             jobs: HashMap::new(),
             in_flight: HashMap::new(),
-            room_queries: HashMap::new(),
+            space_queries: HashMap::new(),
             last_call: 0,
             released: HashMap::new(),
             releases_sent: Instant::now(),
@@ -219,8 +219,8 @@
                 self.queues.values_mut().for_each(|it| it.drop_jobs(|key| key.origin == origin));
             }
             OwnerEvent::CallEnded(end) => self.call_ended(end),
-            OwnerEvent::RoomReport(upstream, section, report) => {
-                self.handle_room_report(&upstream, &section, report);
+            OwnerEvent::SpaceReport(upstream, section, report) => {
+                self.handle_space_report(&upstream, &section, report);
             }
             OwnerEvent::ResultsFreed(upstream, handles) => {
                 let section = self.shared.directory().section_of(&upstream);
@@ -298,7 +298,7 @@
                 available: it.is_open()
                     && !it.is_ejected(now)
                     && !self.is_used_elsewhere(&it.id, section)
-                    && self.is_room_known(it, section, now),
+                    && self.is_space_known(it, section, now),
             })
             .collect();
         let Some(queue) = self.queues.get_mut(section) else { return };
--- a/crates/gateway/src/batch/owner/room.rs
+++ b/crates/gateway/src/batch/owner/space.rs
@@ -18,14 +18,14 @@
 
 /// How long knowledge of an upstream's space stays valid without a call of this owner. Results live
 /// for a few seconds, and another owner may have filled the upstream meanwhile.
-const ROOM_VALIDITY: Duration = Duration::from_secs(4);
+const SPACE_VALIDITY: Duration = Duration::from_secs(4);
 
 /// How long a call waits for the answer. After that the upstream is treated as empty.
-const ROOM_TIMEOUT: Duration = Duration::from_millis(150);
+const SPACE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// The state of the query for an upstream's free space.
 #[derive(Clone, Copy)]
-pub(super) struct RoomQuery {
+pub(super) struct SpaceQuery {
     asked: Instant,
     answered: bool,
     /// When the last call was sent, or the query if there was none since.
@@ -35,38 +35,38 @@
 impl<D: Dialect> State<D> {
     /// Returns whether a call may be sent to an upstream. If its free space is not known, asks the
     /// upstream for it first.
-    pub(super) fn is_room_known(
+    pub(super) fn is_space_known(
         &mut self,
         upstream: &Arc<Upstream>,
         section: &Section,
         now: Instant,
     ) -> bool {
-        let known = self.room_queries.get(&upstream.id).copied();
+        let known = self.space_queries.get(&upstream.id).copied();
         let fresh =
-            known.filter(|it| now.duration_since(it.last_call.max(it.asked)) < ROOM_VALIDITY);
+            known.filter(|it| now.duration_since(it.last_call.max(it.asked)) < SPACE_VALIDITY);
         let Some(query) = fresh else {
-            self.ask_room(upstream, section, now);
+            self.query_space(upstream, section, now);
             return false;
         };
-        query.answered || now.duration_since(query.asked) >= ROOM_TIMEOUT
+        query.answered || now.duration_since(query.asked) >= SPACE_TIMEOUT
     }
 
     /// Records that a call is sent to an upstream.
     pub(super) fn record_call(&mut self, upstream: &str, now: Instant) {
-        if let Some(query) = self.room_queries.get_mut(upstream) {
+        if let Some(query) = self.space_queries.get_mut(upstream) {
             query.last_call = now;
         }
     }
 
     /// Handles an upstream's answer, which is `None` if there was none.
-    pub(super) fn handle_room_report(
+    pub(super) fn handle_space_report(
         &mut self,
         upstream: &Upstream,
         section: &Section,
         report: Option<RoomReport>,
     ) {
         let now = Instant::now();
-        if let Some(query) = self.room_queries.get_mut(&upstream.id) {
+        if let Some(query) = self.space_queries.get_mut(&upstream.id) {
             query.answered = true;
         }
         let Some(report) = report else { return };
@@ -83,16 +83,16 @@
             "an upstream reported its free space for results");
     }
 
-    fn ask_room(&mut self, upstream: &Arc<Upstream>, section: &Section, now: Instant) {
+    fn query_space(&mut self, upstream: &Arc<Upstream>, section: &Section, now: Instant) {
         // Removes upstreams that are gone, which are never asked again.
-        self.room_queries
-            .retain(|_, it| now.duration_since(it.last_call.max(it.asked)) < ROOM_VALIDITY * 4);
-        let query = RoomQuery { asked: now, answered: false, last_call: now };
-        self.room_queries.insert(Arc::clone(&upstream.id), query);
+        self.space_queries
+            .retain(|_, it| now.duration_since(it.last_call.max(it.asked)) < SPACE_VALIDITY * 4);
+        let query = SpaceQuery { asked: now, answered: false, last_call: now };
+        self.space_queries.insert(Arc::clone(&upstream.id), query);
         let (events, upstream, section) =
             (self.events.clone(), Arc::clone(upstream), section.clone());
         tokio::spawn(async move {
-            let report = match exchange::room::<D>(&upstream, now + ROOM_TIMEOUT).await {
+            let report = match exchange::query_space::<D>(&upstream, now + SPACE_TIMEOUT).await {
                 Ok(report) => Some(report),
                 Err(fault) => {
                     log::info!(upstream:% = upstream.id, cause:% = fault;
@@ -101,7 +101,7 @@
                 }
             };
             // The owner's task ends only with the process.
-            let _ = events.send(OwnerEvent::RoomReport(upstream, section, report));
+            let _ = events.send(OwnerEvent::SpaceReport(upstream, section, report));
         });
     }
 }
--- a/crates/gateway/src/batch/queue.rs
+++ b/crates/gateway/src/batch/queue.rs
@@ -334,7 +334,7 @@
     /// Returns the indices in the queue of the pieces for a call to `target`.
     fn choose_pieces(&self, target: &Target, available: &[&Target], now: Instant) -> Vec<usize> {
         let state = self.states.get(&target.id);
-        let mut room = state.map_or(0, |it| it.free(self.spec.room, now));
+        let mut space = state.map_or(0, |it| it.free(self.spec.room, now));
         let mut chosen = Vec::new();
         let mut ahead: Vec<(&Arc<str>, usize)> = Vec::new();
         for (at, piece) in self.waiting.iter().enumerate() {
@@ -345,12 +345,12 @@
             if first.is_some_and(|it| !it.can_join(piece)) {
                 continue;
             }
-            if piece.result_bytes > room
+            if piece.result_bytes > space
                 || self.waits_for_domain(piece, target, available, &mut ahead, now)
             {
                 continue;
             }
-            room -= piece.result_bytes;
+            space -= piece.result_bytes;
             chosen.push(at);
         }
         chosen
--- a/crates/gateway/src/batch/queue/upstream_state.rs
+++ b/crates/gateway/src/batch/queue/upstream_state.rs
@@ -89,11 +89,11 @@
         self.foreign = self.foreign.filter(|it| it.0 > 0 && it.1 > now);
     }
 
-    /// Returns the free bytes, of `room` in all.
-    pub(super) fn free(&self, room: u64, now: Instant) -> u64 {
+    /// Returns the free bytes of an upstream that has `space` bytes for results.
+    pub(super) fn free(&self, space: u64, now: Instant) -> u64 {
         let kept: u64 = self.results.iter().map(|it| it.size).sum();
-        let used = (room as f64 * USABLE_SHARE) as u64;
-        used.saturating_sub(kept + self.foreign_bytes(now))
+        let usable = (space as f64 * USABLE_SHARE) as u64;
+        usable.saturating_sub(kept + self.foreign_bytes(now))
     }
 
     /// Returns the bytes that results of other owners take.
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -121,7 +121,7 @@
     Late,
     /// An input is gone.
     InputGone,
-    /// The upstream has no memory left for results.
+    /// The upstream has no space left for results.
     NoRoom,
     /// The upstream failed.
     Failed,
@@ -139,7 +139,7 @@
     pub results: Vec<PieceResult>,
 }
 
-/// An upstream's report of its free memory for stage results.
+/// An upstream's report of its free space for stage results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoomReport {
     /// When the sender started, if it says so.
@@ -189,7 +189,7 @@
     /// Returns a description of what is invalid in the answer.
     fn decode_results(body: &[u8]) -> Result<PieceAnswer, String>;
 
-    /// Decodes an upstream's report of its free memory. Fields that can't be decoded are left
+    /// Decodes an upstream's report of its free space. Fields that can't be decoded are left
     /// empty.
     fn decode_room(body: &[u8]) -> RoomReport;
 
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -228,8 +228,8 @@
     Ok(answer)
 }
 
-/// Asks an upstream how much memory it has left for results.
-pub(crate) async fn room<D: Dialect>(
+/// Asks an upstream how much space it has left for results.
+pub(crate) async fn query_space<D: Dialect>(
     upstream: &Arc<Upstream>,
     deadline: Instant,
 ) -> Result<RoomReport, Fault> {
--- a/crates/gateway/src/plan.rs
+++ b/crates/gateway/src/plan.rs
@@ -92,7 +92,7 @@
     pub call: Duration,
     /// The approximate time that each piece adds to a call.
     pub item: Duration,
-    /// The memory of an upstream for results, in bytes.
+    /// The space of an upstream for results, in bytes.
     pub room: u64,
     /// How long a result is kept after its call.
     pub ttl: Duration,
--- a/crates/gateway/tests/queue.rs
+++ b/crates/gateway/tests/queue.rs
@@ -165,7 +165,7 @@
         next: Some(("u", &[2, 1])),
     },
     Case {
-        name: "no more results than there is room for",
+        name: "no more results than there is space for",
         given: &[Given { pieces: 8, bytes: 6_000_000, ..PLAIN }],
         targets: &[("u", "d")],
         next: Some(("u", &[1, 1])),
@@ -207,7 +207,7 @@
 /// becomes idle in time: the upstream in the domain is busy, another one is idle, and the busy one
 /// was not considered.
 #[test]
-fn a_busy_maker_in_the_domain_is_waited_for() {
+fn a_busy_upstream_in_the_domain_is_waited_for() {
     let now = Instant::now();
     let targets = [target("near", "d"), target("far", "e")];
     let large = Given { bytes: 1_500_000, domain: Some("d"), due: 2_000, ..PLAIN };
@@ -243,7 +243,7 @@
 /// the next call goes out before the upstream is told of the release. Space is free only once the
 /// upstream has dropped the results.
 #[test]
-fn room_is_free_once_the_upstream_dropped_the_results() {
+fn space_is_free_once_the_upstream_dropped_the_results() {
     let now = Instant::now();
     let targets = [target("u", "d")];
     let mut queue = Queue::new(SPEC);
@@ -254,7 +254,7 @@
     queue.result_stored("u", 7_000_000, "h-1".into(), now);
     queue.result_stored("u", 7_000_000, "h-2".into(), now);
     push(&mut queue, large, now);
-    assert!(queue.next_call(&targets, now).is_none(), "there is no room");
+    assert!(queue.next_call(&targets, now).is_none(), "there is no space");
     queue.results_freed("u", &["h-1".into()]);
     assert_eq!(queue.next_call(&targets, now).map(|it| it.pieces.len()), Some(1));
 }
@@ -275,7 +275,7 @@
         queue.result_stored("u", piece.result_bytes, format!("h-{}", piece.segment).into(), now);
     }
     push(&mut queue, large, now);
-    assert!(queue.next_call(&targets, now).is_none(), "there is no room");
+    assert!(queue.next_call(&targets, now).is_none(), "there is no space");
     queue.restarted("u");
     let next = queue.next_call(&targets, now).expect("a call after the restart");
     assert_eq!(next.pieces.len(), 4);
@@ -330,8 +330,14 @@
     ForeignCase { name: "empty", free: 10, freed: 0, later: 0, pieces: Some(8) },
     ForeignCase { name: "half full", free: 5, freed: 0, later: 0, pieces: Some(4) },
     ForeignCase { name: "full", free: 0, freed: 0, later: 0, pieces: None },
-    ForeignCase { name: "full, some given up", free: 0, freed: 4, later: 0, pieces: Some(3) },
-    ForeignCase { name: "full, until they end", free: 0, freed: 0, later: 4_001, pieces: Some(8) },
+    ForeignCase { name: "full, some released", free: 0, freed: 4, later: 0, pieces: Some(3) },
+    ForeignCase {
+        name: "full, until they expire",
+        free: 0,
+        freed: 0,
+        later: 4_001,
+        pieces: Some(8),
+    },
 ];
 
 /// Guards against stages that fail in the seconds after a loss of all power or a change of owners:
@@ -339,7 +345,7 @@
 /// fills calls as if the upstreams were empty. Pieces without space are sent again until the retry
 /// budget runs out.
 #[test]
-fn a_new_owner_leaves_room_for_what_others_keep() {
+fn a_new_owner_leaves_space_for_what_others_keep() {
     const RESULT: u64 = SPEC.room / 10;
     for case in FOREIGN_CASES {
         let now = Instant::now();
