--- a/crates/routing/examples/weigh.rs
+++ b/crates/routing/examples/rule_effects.rs
@@ -1,6 +1,6 @@
 //! Measures the effect of single rules, with six entries and simulated replicas in virtual time.
 //!
-//! `cargo run --release -p mothplank-routing --example weigh -- [SEEDS] [CASE] [RULE]`
+//! `cargo run --release -p mothplank-routing --example rule_effects -- [SEEDS] [CASE] [RULE]`
 #![allow(clippy::print_stdout, reason = "it prints a table")]
 
 #[path = "../tests/common/mod.rs"]
@@ -26,8 +26,10 @@
 /// The name, priority and share of the load of each customer.
 const CUSTOMERS: [(&str, u8, f64); 3] = [("yard", 0, 0.5), ("desk", 3, 0.4), ("studio", 3, 0.1)];
 const DEADLINE: Duration = Duration::from_secs(5);
-const FAULT: std::ops::Range<f64> = 10.0..20.0;
-const MEASURED: std::ops::Range<f64> = 5.0..26.0;
+/// The time of the fault, from the start of the simulation.
+const FAULT_SECONDS: std::ops::Range<f64> = 10.0..20.0;
+/// The time in which outcomes are counted, from the start of the simulation.
+const MEASURED_SECONDS: std::ops::Range<f64> = 5.0..26.0;
 
 /// A case: its name; the load before and during the fault; how many times slower the first replica
 /// and all replicas are; how many replicas fail each call, and how; the share of calls that fail;
@@ -108,7 +110,7 @@
     }
 
     fn measured(&self) -> f64 {
-        f64::from(u8::from(MEASURED.contains(&self.at())))
+        f64::from(u8::from(MEASURED_SECONDS.contains(&self.at())))
     }
 
     fn draw(&self) -> f64 {
@@ -123,7 +125,7 @@
             // whole.
             let [usual, burst] = self.case.1;
             let more = if customer == 0 { 0.0 } else { 2.0 * (burst - usual) };
-            let load = usual + if FAULT.contains(&self.at()) { more } else { 0.0 };
+            let load = usual + if FAULT_SECONDS.contains(&self.at()) { more } else { 0.0 };
             let rate = (count * capacity) as f64 / mean * CUSTOMERS[customer].2 * load;
             sleep(Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / rate)).await;
             spawn_local(Rc::clone(&self).caller(customer));
@@ -133,7 +135,7 @@
     /// Sends a request again and again until it is answered.
     async fn caller(self: Rc<Self>, customer: usize) {
         let (sent, mut first) = (now(), self.measured());
-        let after = if self.at() > FAULT.end + 2.0 { first } else { 0.0 };
+        let after = if self.at() > FAULT_SECONDS.end + 2.0 { first } else { 0.0 };
         self.tally.borrow_mut().0[customer] += first;
         self.tally.borrow_mut().7[0] += after;
         loop {
@@ -217,7 +219,7 @@
             let factor = if held.is_some() { 0.75 } else { 1.0 };
             let time = mean * slowdown.get() * factor * (0.6 - 0.4 * (1.0 - self.draw()).ln());
             sleep(Duration::from_secs_f64(time)).await;
-            self.at() < FAULT.start || self.draw() >= self.case.4
+            self.at() < FAULT_SECONDS.start || self.draw() >= self.case.4
         };
         let answered = tokio::select! {
             biased;
@@ -233,11 +235,11 @@
     /// Ticks the routers, sends digests and causes the fault.
     async fn control(&self) {
         let (_, _, [first, all], (count, end_kind), _, every, _) = *self.case;
-        let (mut sequence, mut next, mut fault) = (0, 0.0, FAULT.start);
-        while self.at() < MEASURED.end + 5.0 {
+        let (mut sequence, mut next, mut fault) = (0, 0.0, FAULT_SECONDS.start);
+        while self.at() < MEASURED_SECONDS.end + 5.0 {
             self.routers.iter().for_each(|it| it.tick(now()));
             if self.at() >= next {
-                let every = if self.at() < FAULT.start { every.min(1_000) } else { every };
+                let every = if self.at() < FAULT_SECONDS.start { every.min(1_000) } else { every };
                 (sequence, next) = (sequence + 1, self.at() + every as f64 / 1e3);
                 let mut counts = BTreeMap::new();
                 for (upstream, count) in self.routers.iter().flat_map(Router::in_flight) {
@@ -277,7 +279,7 @@
         });
     }
     let Tally(first, attained, good, busy, useful, calls, mut late, after) = tally;
-    let time = seeds as f64 * (MEASURED.end - MEASURED.start);
+    let time = seeds as f64 * (MEASURED_SECONDS.end - MEASURED_SECONDS.start);
     late.sort_unstable();
     let p95 = late.get(late.len() * 95 / 100).copied().unwrap_or(0);
     let [strong, heavy, light] = [0, 1, 2].map(|it| 100.0 * attained[it] / first[it].max(1.0));
--- a/crates/routing/src/decisions.rs
+++ b/crates/routing/src/decisions.rs
@@ -49,9 +49,9 @@
     EjectErrors,
     EjectSilent,
     Leaving,
-    KeptLast,
-    Returned,
-    Rejoined,
+    TooManyEjected,
+    ProbeSucceeded,
+    LiveAgain,
     Hedge,
     Retry,
 }
@@ -74,9 +74,9 @@
     DecisionKind::EjectErrors,
     DecisionKind::EjectSilent,
     DecisionKind::Leaving,
-    DecisionKind::KeptLast,
-    DecisionKind::Returned,
-    DecisionKind::Rejoined,
+    DecisionKind::TooManyEjected,
+    DecisionKind::ProbeSucceeded,
+    DecisionKind::LiveAgain,
     DecisionKind::Hedge,
     DecisionKind::Retry,
 ];
@@ -105,8 +105,8 @@
             DecisionKind::EjectErrors | DecisionKind::EjectSilent | DecisionKind::Leaving => {
                 "eject"
             }
-            DecisionKind::KeptLast => "keep",
-            DecisionKind::Returned | DecisionKind::Rejoined => "return",
+            DecisionKind::TooManyEjected => "keep",
+            DecisionKind::ProbeSucceeded | DecisionKind::LiveAgain => "return",
             DecisionKind::Hedge => "hedge",
             DecisionKind::Retry => "retry",
         }
@@ -118,9 +118,9 @@
             DecisionKind::EjectErrors => "errors",
             DecisionKind::EjectSilent => "silent",
             DecisionKind::Leaving => "leaving",
-            DecisionKind::KeptLast => "too-many-ejected",
-            DecisionKind::Returned => "probe-succeeded",
-            DecisionKind::Rejoined => "live-again",
+            DecisionKind::TooManyEjected => "too-many-ejected",
+            DecisionKind::ProbeSucceeded => "probe-succeeded",
+            DecisionKind::LiveAgain => "live-again",
             DecisionKind::Hedge => "late-first-byte",
             DecisionKind::Retry => "call-failed",
         }
--- a/crates/routing/src/eject.rs
+++ b/crates/routing/src/eject.rs
@@ -62,7 +62,7 @@
     /// It is leaving.
     Leaving,
     /// It is live again.
-    Returned,
+    Live,
 }
 
 impl Health {
@@ -184,7 +184,7 @@
         }
         self.digest_leaving.store(0, Ordering::Relaxed);
         self.leaving_since.store(0, Ordering::Relaxed);
-        Some(DigestChange::Returned)
+        Some(DigestChange::Live)
     }
 
     fn eject_time(&self) -> Micros {
--- a/crates/routing/src/estimate.rs
+++ b/crates/routing/src/estimate.rs
@@ -94,7 +94,7 @@
 /// The ratio of adjacent edges. A quantile is off by this factor at most.
 const BUCKET_RATIO: f64 = 1.15;
 /// The number of samples at which all counts are halved, so that old samples lose weight.
-const WINDOW: u32 = 1_024;
+const HALVING_SAMPLES: u32 = 1_024;
 /// The number of samples from which quantiles are returned.
 const MIN_SAMPLES: u32 = 20;
 
@@ -117,7 +117,7 @@
         let index = ((us as f64 / FIRST_EDGE_US).max(1.0).ln() / BUCKET_RATIO.ln()) as usize;
         self.buckets[index.min(BUCKETS - 1)].fetch_add(1, Ordering::Relaxed);
         let count = self.count.fetch_add(1, Ordering::Relaxed) + 1;
-        if count >= WINDOW {
+        if count >= HALVING_SAMPLES {
             self.halve();
         }
         count
--- a/crates/routing/src/feedback.rs
+++ b/crates/routing/src/feedback.rs
@@ -68,7 +68,12 @@
         view.state.total.reset();
         if view.state.health.restore() {
             let detail = || format!("a call took {:.1} ms", total / 1e3);
-            self.pick.pool.log.record(DecisionKind::Returned, view.name.as_str(), self.now, detail);
+            self.pick.pool.log.record(
+                DecisionKind::ProbeSucceeded,
+                view.name.as_str(),
+                self.now,
+                detail,
+            );
         }
     }
 
@@ -131,7 +136,7 @@
         format!("{load} calls there, {degraded} of {} in trouble", pool.upstreams.len())
     };
     if degraded > max {
-        log.record(DecisionKind::KeptLast, view.name.as_str(), now, detail);
+        log.record(DecisionKind::TooManyEjected, view.name.as_str(), now, detail);
     } else if view.state.health.eject(now) {
         log.record(kind, view.name.as_str(), now, detail);
     }
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -24,7 +24,7 @@
 use crate::work::PoolWork;
 
 /// The number of samples between two readings of the histogram's quantiles.
-const QUANTILE_INTERVAL: u32 = 16;
+const QUANTILE_INTERVAL_SAMPLES: u32 = 16;
 
 /// A pool in one version of the service.
 #[derive(Debug)]
@@ -203,7 +203,7 @@
     /// hedged: from the 99th percentile down to the 95th.
     pub(crate) fn record_first_byte(&self, first: Micros, attainment: f64) {
         let count = self.first_bytes.record(first);
-        if !count.is_multiple_of(QUANTILE_INTERVAL) {
+        if !count.is_multiple_of(QUANTILE_INTERVAL_SAMPLES) {
             return;
         }
         if let Some(high) = self.first_bytes.quantile(0.99) {
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -12,7 +12,7 @@
 pub(crate) type Reply = oneshot::Sender<Result<Slot, Refusal>>;
 
 /// The number of started calls between two clean-ups of the customers' start tags.
-const CLEANUP_INTERVAL: u32 = 256;
+const CLEANUP_INTERVAL_CALLS: u32 = 256;
 
 /// A queued call.
 #[derive(Debug)]
@@ -96,7 +96,7 @@
         self.virtual_time = self.virtual_time.max(tag);
         self.next_starts.insert(customer.clone(), tag + 1);
         self.since_cleanup += 1;
-        if self.since_cleanup >= CLEANUP_INTERVAL {
+        if self.since_cleanup >= CLEANUP_INTERVAL_CALLS {
             self.since_cleanup = 0;
             let virtual_time = self.virtual_time;
             self.next_starts.retain(|_, tag| *tag > virtual_time);
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -118,7 +118,7 @@
             let leaving = load.standing == UpstreamStanding::Leaving;
             let kind = match view.state.health.apply_digest(leaving, digest.sequence, now) {
                 Some(DigestChange::Leaving) => DecisionKind::Leaving,
-                Some(DigestChange::Returned) => DecisionKind::Rejoined,
+                Some(DigestChange::Live) => DecisionKind::LiveAgain,
                 None => continue,
             };
             let detail = || format!("digest {} says so", digest.sequence);
