--- a/crates/gateway/src/batch/message.rs
+++ b/crates/gateway/src/batch/message.rs
@@ -74,22 +74,22 @@
 }
 
 /// The protocol level from which entries know sections.
-pub(crate) const LEVEL_SECTIONS: u8 = 1;
+pub(crate) const SECTIONS_LEVEL: u8 = 1;
 
-/// The protocol level from which owners count the upstreams that terminate while they run a
-/// request.
-pub(crate) const LEVEL_REQUESTS: u8 = 3;
+/// The protocol level from which jobs carry the digest of their request, by which owners count the
+/// upstreams that terminate while they run it.
+pub(crate) const DIGESTS_LEVEL: u8 = 3;
 
 impl ToOwner {
     /// Converts the message to one that an owner of this level can read. An owner that knows no
     /// sections runs the pieces anywhere.
     pub(crate) fn at_level(self, level: u8) -> Self {
         match self {
-            Self::SubmitWithDigest(it) if level < LEVEL_REQUESTS => match it.domain {
+            Self::SubmitWithDigest(it) if level < DIGESTS_LEVEL => match it.domain {
                 Some(domain) => Self::SubmitToDomain(domain, it.job).at_level(level),
                 None => Self::Submit(it.job),
             },
-            Self::SubmitToDomain(_, job) if level < LEVEL_SECTIONS => Self::Submit(job),
+            Self::SubmitToDomain(_, job) if level < SECTIONS_LEVEL => Self::Submit(job),
             message => message,
         }
     }
@@ -143,7 +143,7 @@
     /// that knows no sections only reads the waits of whole services.
     pub(crate) fn at_level(self, level: u8) -> Option<Self> {
         match self {
-            Self::SectionBacklog(it) if level < LEVEL_SECTIONS => {
+            Self::SectionBacklog(it) if level < SECTIONS_LEVEL => {
                 it.domain.is_none().then_some(Self::Backlog(it.service, it.backlog.waits))
             }
             message => Some(message),
--- a/crates/gateway/src/batch/message/tests.rs
+++ b/crates/gateway/src/batch/message/tests.rs
@@ -38,15 +38,15 @@
 
 const JOBS: &[JobCase] = &[
     JobCase { name: "split, first release", domain: Some("d"), level: 0, sent: "job" },
-    JobCase { name: "split, sections", domain: Some("d"), level: LEVEL_SECTIONS, sent: "job in d" },
-    JobCase { name: "whole, sections", domain: None, level: LEVEL_SECTIONS, sent: "job" },
+    JobCase { name: "split, sections", domain: Some("d"), level: SECTIONS_LEVEL, sent: "job in d" },
+    JobCase { name: "whole, sections", domain: None, level: SECTIONS_LEVEL, sent: "job" },
     JobCase {
         name: "split",
         domain: Some("d"),
-        level: LEVEL_REQUESTS,
+        level: DIGESTS_LEVEL,
         sent: "job of a request in d",
     },
-    JobCase { name: "whole", domain: None, level: LEVEL_REQUESTS, sent: "job of a request" },
+    JobCase { name: "whole", domain: None, level: DIGESTS_LEVEL, sent: "job of a request" },
 ];
 
 /// An owner of an earlier release that gets a message which it can't read ends the connection.
@@ -85,8 +85,8 @@
 const CASES: &[Case] = &[
     Case { name: "whole, to the release before", domain: None, level: 0, sent: Sent::Waits },
     Case { name: "split, to the release before", domain: Some("d"), level: 0, sent: Sent::Nothing },
-    Case { name: "whole", domain: None, level: LEVEL_SECTIONS, sent: Sent::SectionBacklog },
-    Case { name: "split", domain: Some("d"), level: LEVEL_SECTIONS, sent: Sent::SectionBacklog },
+    Case { name: "whole", domain: None, level: SECTIONS_LEVEL, sent: Sent::SectionBacklog },
+    Case { name: "split", domain: Some("d"), level: SECTIONS_LEVEL, sent: Sent::SectionBacklog },
 ];
 
 /// Guards against entries that end each other's connections again and again in a rolling upgrade:
--- a/crates/gateway/src/batch/queue/upstream_state.rs
+++ b/crates/gateway/src/batch/queue/upstream_state.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 /// How long space counts as taken after an upstream had none for a result.
-const FULL_HOLD: Duration = Duration::from_millis(700);
+const RESERVE_TIME: Duration = Duration::from_millis(700);
 
 /// The share of the upstream's space that is filled, because result sizes are approximate.
 const USABLE_SHARE: f64 = 0.94;
@@ -114,9 +114,9 @@
         self.results.push(StoredResult { size, until, handle });
     }
 
-    /// Counts the size of a result that found no space as taken for [`FULL_HOLD`].
+    /// Counts the size of a result that found no space as taken for [`RESERVE_TIME`].
     pub(super) fn reserve(&mut self, size: u64, now: Instant) {
-        self.add_result(size, Arc::from(""), now + FULL_HOLD);
+        self.add_result(size, Arc::from(""), now + RESERVE_TIME);
     }
 
     /// Removes results. Unknown ones belonged to another owner; each counts as `size` bytes.
--- a/crates/gateway/tests/queue.rs
+++ b/crates/gateway/tests/queue.rs
@@ -346,12 +346,12 @@
 /// budget runs out.
 #[test]
 fn a_new_owner_leaves_space_for_what_others_keep() {
-    const RESULT: u64 = SPEC.room / 10;
+    const RESULT_BYTES: u64 = SPEC.room / 10;
     for case in FOREIGN_CASES {
         let now = Instant::now();
         let mut queue = Queue::new(SPEC);
-        queue.set_free_bytes("u", case.free * RESULT, now);
-        let given = Given { pieces: 8, bytes: RESULT, due: 9_000, ..PLAIN };
+        queue.set_free_bytes("u", case.free * RESULT_BYTES, now);
+        let given = Given { pieces: 8, bytes: RESULT_BYTES, due: 9_000, ..PLAIN };
         push(&mut queue, given, now);
         let handles: Vec<Arc<str>> = (0..case.freed).map(|it| format!("h-{it}").into()).collect();
         queue.results_freed("u", &handles);
--- a/crates/registry/src/follow/state.rs
+++ b/crates/registry/src/follow/state.rs
@@ -100,7 +100,7 @@
     pub(super) fn send_loads(&self, report: LoadReport) {
         let sender = self.leader.and_then(|it| self.links.get(&it)).and_then(Option::as_ref);
         if let Some(sender) = sender {
-            // A lost report is made up for by the next one.
+            // The next report replaces a lost one.
             let _ = sender.try_send(&ToMember::Loads(report));
         }
     }
--- a/crates/registry/src/hub.rs
+++ b/crates/registry/src/hub.rs
@@ -21,8 +21,9 @@
 use crate::package_cache::PackageCache;
 use crate::quarantine::QuarantineTable;
 
-/// The shortest interval at which entries report their loads and the leader sends out the sum. Two
-/// entries that don't know of each other's prompts yet send them to the same engine.
+/// The shortest interval at which entries report their loads and the leader sends out the sum. Until
+/// the sum arrives, two entries may send prompts to the same engine, since neither knows of the
+/// other's.
 const MIN_LOADS_INTERVAL: Duration = Duration::from_millis(75);
 
 /// The maximum rate at which an entry is sent loads, in bytes per second: two thirds of the 9 kB/s
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -8,22 +8,22 @@
 
 type Queued = tokio::sync::oneshot::Receiver<Result<Slot, Refusal>>;
 
-fn expect_granted(turn: SlotResponse) -> Slot {
-    match turn {
+fn expect_granted(response: SlotResponse) -> Slot {
+    match response {
         SlotResponse::Granted(slot) => slot,
         other => panic!("expected a slot, got {other:?}"),
     }
 }
 
-fn expect_queued(turn: SlotResponse) -> Queued {
-    match turn {
+fn expect_queued(response: SlotResponse) -> Queued {
+    match response {
         SlotResponse::Queued(queued) => queued,
         other => panic!("expected to wait, got {other:?}"),
     }
 }
 
-fn expect_refused(turn: SlotResponse) -> Refusal {
-    match turn {
+fn expect_refused(response: SlotResponse) -> Refusal {
+    match response {
         SlotResponse::Refused(refusal) => refusal,
         other => panic!("expected a refusal, got {other:?}"),
     }
