--- a/crates/gateway/src/batch/owner.rs
+++ b/crates/gateway/src/batch/owner.rs
@@ -14,7 +14,7 @@
 
 use crate::batch::message::{FromOwner, PiecesDone, ToOwner};
 use crate::batch::queue::{JobKey, NextCall, Piece, Queue, Target};
-use crate::dialect::{Dialect, Handle, PieceAnswer, PieceFailure, RoomReport};
+use crate::dialect::{Dialect, Handle, PieceAnswer, PieceFailure, SpaceReport};
 use crate::exchange::{self, Fault};
 use crate::section::Section;
 use crate::shared::Shared;
@@ -64,7 +64,7 @@
     /// A call has ended.
     CallEnded(CallEnd),
     /// An upstream reported its free space for results, or did not answer.
-    SpaceReport(Arc<Upstream>, Section, Option<RoomReport>),
+    SpaceReport(Arc<Upstream>, Section, Option<SpaceReport>),
     /// An upstream dropped results as requested.
     ResultsFreed(Arc<Upstream>, Vec<Handle>),
 }
--- a/crates/gateway/src/batch/owner/space.rs
+++ b/crates/gateway/src/batch/owner/space.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use super::{OwnerEvent, State};
-use crate::dialect::{Dialect, RoomReport};
+use crate::dialect::{Dialect, SpaceReport};
 use crate::exchange;
 use crate::incarnation::Incarnation;
 use crate::section::Section;
@@ -63,7 +63,7 @@
         &mut self,
         upstream: &Upstream,
         section: &Section,
-        report: Option<RoomReport>,
+        report: Option<SpaceReport>,
     ) {
         let now = Instant::now();
         if let Some(query) = self.space_queries.get_mut(&upstream.id) {
--- a/crates/gateway/src/batch/queue.rs
+++ b/crates/gateway/src/batch/queue.rs
@@ -259,7 +259,7 @@
     /// calls would be half full.
     pub fn set_free_bytes(&mut self, upstream: &str, free: u64, now: Instant) {
         let until = now + self.spec.ttl;
-        let taken = self.spec.room.saturating_sub(free);
+        let taken = self.spec.space_bytes.saturating_sub(free);
         self.states.entry(upstream.into()).or_default().set_foreign_bytes(taken, until);
     }
 
@@ -334,7 +334,7 @@
     /// Returns the indices in the queue of the pieces for a call to `target`.
     fn choose_pieces(&self, target: &Target, available: &[&Target], now: Instant) -> Vec<usize> {
         let state = self.states.get(&target.id);
-        let mut space = state.map_or(0, |it| it.free(self.spec.room, now));
+        let mut space = state.map_or(0, |it| it.free(self.spec.space_bytes, now));
         let mut chosen = Vec::new();
         let mut ahead: Vec<(&Arc<str>, usize)> = Vec::new();
         for (at, piece) in self.waiting.iter().enumerate() {
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -141,7 +141,7 @@
 
 /// An upstream's report of its free space for stage results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RoomReport {
+pub struct SpaceReport {
     /// When the sender started, if it says so.
     pub start_time: Option<StartTime>,
     /// The bytes that were free for results some hundred milliseconds ago.
@@ -191,7 +191,7 @@
 
     /// Decodes an upstream's report of its free space. Fields that can't be decoded are left
     /// empty.
-    fn decode_room(body: &[u8]) -> RoomReport;
+    fn decode_space(body: &[u8]) -> SpaceReport;
 
     /// Encodes a call that frees results.
     fn encode_free(handles: &[Handle]) -> Bytes;
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use crate::dialect::{AnswerHead, Dialect, Handle, PieceAnswer, PieceCall, RoomReport};
+use crate::dialect::{AnswerHead, Dialect, Handle, PieceAnswer, PieceCall, SpaceReport};
 use crate::upstream::{ConnectError, Lease, Upstream};
 
 /// The largest answer to one of the entry's own calls, in bytes.
@@ -232,14 +232,14 @@
 pub(crate) async fn query_space<D: Dialect>(
     upstream: &Arc<Upstream>,
     deadline: Instant,
-) -> Result<RoomReport, Fault> {
+) -> Result<SpaceReport, Fault> {
     let mut request = own_call::<D>(upstream, D::REPORT_PATH, Bytes::new(), deadline);
     *request.method_mut() = Method::GET;
     let Opened { mut response, lease, head } = send::<D>(upstream, request, "", deadline).await?;
     let body = read_short(response.body_mut(), deadline).await?;
     lease.keep(head.keep_alive);
     match response.status() {
-        StatusCode::OK => Ok(D::decode_room(&body)),
+        StatusCode::OK => Ok(D::decode_space(&body)),
         status => Err(Fault::refused(status)),
     }
 }
--- a/crates/gateway/src/plan.rs
+++ b/crates/gateway/src/plan.rs
@@ -93,7 +93,7 @@
     /// The approximate time that each piece adds to a call.
     pub item: Duration,
     /// The space of an upstream for results, in bytes.
-    pub room: u64,
+    pub space_bytes: u64,
     /// How long a result is kept after its call.
     pub ttl: Duration,
 }
--- a/crates/gateway/src/shared/tests.rs
+++ b/crates/gateway/src/shared/tests.rs
@@ -9,7 +9,7 @@
 use super::*;
 use crate::budget::BudgetSpec;
 use crate::dialect::{
-    AnswerHead, ForwardHead, Handle, PieceAnswer, PieceCall, RequestHead, RoomReport,
+    AnswerHead, ForwardHead, Handle, PieceAnswer, PieceCall, RequestHead, SpaceReport,
 };
 
 /// A dialect in which every plan is empty, and every other message too.
@@ -45,8 +45,8 @@
         Err(String::new())
     }
 
-    fn decode_room(_: &[u8]) -> RoomReport {
-        RoomReport::default()
+    fn decode_space(_: &[u8]) -> SpaceReport {
+        SpaceReport::default()
     }
 
     fn encode_free(_: &[Handle]) -> Bytes {
--- a/crates/gateway/tests/overload.rs
+++ b/crates/gateway/tests/overload.rs
@@ -14,7 +14,7 @@
     batch: 34,
     call: Duration::from_millis(240),
     item: Duration::from_millis(6),
-    room: 1_000_000_000,
+    space_bytes: 1_000_000_000,
     ttl: Duration::from_secs(4),
 };
 
--- a/crates/gateway/tests/queue.rs
+++ b/crates/gateway/tests/queue.rs
@@ -12,7 +12,7 @@
     batch: 8,
     call: Duration::from_millis(200),
     item: Duration::from_millis(20),
-    room: 16_000_000,
+    space_bytes: 16_000_000,
     ttl: Duration::from_secs(4),
 };
 
@@ -267,7 +267,7 @@
     let now = Instant::now();
     let mut queue = Queue::new(SPEC);
     let targets = [target("u", "a")];
-    let large = Given { pieces: 4, bytes: SPEC.room / 5, ..PLAIN };
+    let large = Given { pieces: 4, bytes: SPEC.space_bytes / 5, ..PLAIN };
     push(&mut queue, large, now);
     let first = queue.next_call(&targets, now).expect("a call");
     queue.call_ended("u", first.pieces.len(), Some(first.expected * 8), now);
@@ -346,7 +346,7 @@
 /// budget runs out.
 #[test]
 fn a_new_owner_leaves_space_for_what_others_keep() {
-    const RESULT_BYTES: u64 = SPEC.room / 10;
+    const RESULT_BYTES: u64 = SPEC.space_bytes / 10;
     for case in FOREIGN_CASES {
         let now = Instant::now();
         let mut queue = Queue::new(SPEC);
--- a/crates/gateway/tests/section.rs
+++ b/crates/gateway/tests/section.rs
@@ -12,7 +12,7 @@
     batch: 50,
     call: Duration::from_millis(200),
     item: Duration::from_millis(4),
-    room: 1_000_000,
+    space_bytes: 1_000_000,
     ttl: Duration::from_secs(4),
 };
 
