--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -33,11 +33,11 @@
 /// The timeout of one attempt to commit the end of a claim.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The pause between two attempts to commit.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// The delay between two attempts to commit.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// How long a draining entry keeps retrying to commit.
-const DRAIN_RETRY_LIMIT: Duration = Duration::from_secs(10);
+const DRAIN_RETRY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One claim and the ticket that proves its ownership.
 struct Claim<'a, S> {
@@ -55,8 +55,8 @@
 ) -> Reply {
     request.claimed = Some(Instant::now());
     let claim = Claim { core: &core, key, ticket: core.ticket() };
-    let asked = ClaimRequested::now();
-    let answer = match claim.ask(&request).await {
+    let requested = ClaimRequested::now();
+    let answer = match claim.acquire(&request).await {
         Ok(Claimed { answer, open_attempt }) => {
             if open_attempt && !answer.is_settled() {
                 claim.revoke().await;
@@ -71,19 +71,19 @@
     };
     match answer {
         ClaimAnswer::Done(answer) => Reply::restored(answer, request.id),
-        ClaimAnswer::Granted => match asked.granted(&answer) {
+        ClaimAnswer::Granted => match requested.granted(&answer) {
             Some(granted) => claim.run_pipeline(&request, granted, events).await,
             None => claim.no_quorum(&request, "no grant"),
         },
         _ => {
-            let problem = denial(asked, &answer);
+            let problem = denial(requested, &answer);
             Reply::new(&Ending::Problem(problem), request.id, request.arrived.elapsed())
         }
     }
 }
 
 /// Returns the problem for an answer that is neither a grant nor a stored result.
-fn denial(asked: ClaimRequested, answer: &ClaimAnswer) -> Problem {
+fn denial(requested: ClaimRequested, answer: &ClaimAnswer) -> Problem {
     let (reason, detail) = match answer {
         ClaimAnswer::OwnerLost => {
             let detail = "the entry that ran this request is lost. Whether the call that may not \
@@ -113,7 +113,7 @@
     };
     let error = RequestError::new(reason, detail);
     let error = if reason == Reason::KeysFull { error.retry_after(retry_after()) } else { error };
-    Problem::from_progress(&Progress::at_arrival(), asked.denied(answer), error)
+    Problem::from_progress(&Progress::at_arrival(), requested.denied(answer), error)
 }
 
 fn answer_label(claimed: &Result<Claimed, ClaimError>) -> &'static str {
@@ -138,12 +138,12 @@
     /// A rejected claim is also asked for again while the quorum has been lost only briefly: a
     /// failed leader is replaced well within a request's deadline. Once that time has passed
     /// without a new leader, requests are refused at once.
-    async fn ask(&self, request: &Request) -> Result<Claimed, ClaimError> {
+    async fn acquire(&self, request: &Request) -> Result<Claimed, ClaimError> {
         let mut lost = None;
-        let has_time = || Instant::now() + RETRY_PAUSE < request.deadline();
+        let has_time = || Instant::now() + RETRY_DELAY < request.deadline();
         loop {
             let deadline = request.deadline().min(Instant::now() + CLAIM_TIMEOUT);
-            match self.claim(request, deadline).await {
+            match self.claim_once(request, deadline).await {
                 Ok(Claimed { answer, open_attempt }) => {
                     self.core.quorum_loss.clear();
                     return Ok(Claimed { answer, open_attempt: open_attempt || lost.is_some() });
@@ -163,15 +163,19 @@
             if !has_time() {
                 return Err(ClaimError::Uncertain(lost.unwrap_or_default()));
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn claim(&self, request: &Request, deadline: Instant) -> Result<Claimed, ClaimError> {
+    async fn claim_once(
+        &self,
+        request: &Request,
+        deadline: Instant,
+    ) -> Result<Claimed, ClaimError> {
         let (key, ticket) = (self.key.clone(), self.ticket.clone());
-        let ask = ClaimRequest { key, fingerprint: request.fingerprint, ticket };
+        let claim_request = ClaimRequest { key, fingerprint: request.fingerprint, ticket };
         let began = Instant::now();
-        let answer = self.core.session.claim(ask, deadline).await;
+        let answer = self.core.session.claim(claim_request, deadline).await;
         self.core.metrics.claim_step("claim", began.elapsed());
         self.core.metrics.claim_answer(answer_label(&answer));
         answer
@@ -248,7 +252,7 @@
             if stored.is_ok() || self.is_drained() {
                 return stored;
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
@@ -290,7 +294,7 @@
                 })
                 .await;
             match released {
-                Err(ClaimError::Rejected(_)) if !self.is_drained() => sleep(RETRY_PAUSE).await,
+                Err(ClaimError::Rejected(_)) if !self.is_drained() => sleep(RETRY_DELAY).await,
                 released => return released,
             }
         }
@@ -320,13 +324,13 @@
                         "claim step not committed yet, retrying: {error}");
                 }
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
     /// Returns whether a drain has waited long enough for a quorum.
     fn is_drained(&self) -> bool {
-        self.core.drain.refusing_for().is_some_and(|it| it > DRAIN_RETRY_LIMIT)
+        self.core.drain.refusing_for().is_some_and(|it| it > DRAIN_RETRY_TIMEOUT)
     }
 }
 
--- a/crates/entry/src/generate.rs
+++ b/crates/entry/src/generate.rs
@@ -18,8 +18,9 @@
 use crate::sink::Sink;
 use crate::step::{Attempts, Retry, StageResult, Step, Used};
 
-/// The number of bytes of a prompt that decide which engine may have it cached.
-const PREFIX_BYTES: usize = 256;
+/// The length of the start of a prompt, in bytes, by which an engine is chosen that may have it
+/// cached.
+const PROMPT_PREFIX_BYTES: usize = 256;
 
 #[derive(Serialize)]
 struct Prompt<'a> {
@@ -121,18 +122,18 @@
     to: (Arc<UpstreamView>, Duration, bool),
 ) -> Result<StartedStream, CallError> {
     let (upstream, first_byte, fresh) = to;
-    let ask = Generation {
+    let generation = Generation {
         call: CallId::random(),
         model: upstream.spec.model.as_ref(),
         prompt,
         tokens: step.request.tokens(step.stage),
-        priority: step.request.ask.priority,
+        priority: step.request.info.priority,
         position: delivered.position,
         delivered: &delivered.text,
     };
     let target = Target { address: upstream.spec.address, fresh };
     let limits = step.limits(first_byte);
-    let mut stream = step.core.calls.generate(target, ask, limits).await?;
+    let mut stream = step.core.calls.generate(target, generation, limits).await?;
     let event = stream.next().await?;
     Ok(StartedStream { stream, event })
 }
@@ -179,8 +180,8 @@
 fn prefix<S: Session>(step: &Step<'_, S>, prompt: &str) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
-    let name = step.request.ask.pipeline.as_str().bytes();
-    let bytes = name.chain([0]).chain(prompt.bytes().take(PREFIX_BYTES));
+    let name = step.request.info.pipeline.as_str().bytes();
+    let bytes = name.chain([0]).chain(prompt.bytes().take(PROMPT_PREFIX_BYTES));
     bytes.fold(OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
 }
 
--- a/crates/entry/src/handlers.rs
+++ b/crates/entry/src/handlers.rs
@@ -29,11 +29,12 @@
 use crate::sink::Item;
 use crate::stream::EventBody;
 
-/// The path prefix before a pipeline's name.
-const PREFIX: &str = "/v1/pipelines/";
+/// The path of a pipeline without its name.
+const PIPELINES_PREFIX: &str = "/v1/pipelines/";
 
-/// How long after the longest possible request time a caller may still take to read its answer.
-const ANSWER_GRACE: Duration = Duration::from_secs(10);
+/// How long a caller may take to read its answer, counted from the latest time at which the request
+/// can end.
+const MAX_ANSWER_READ_TIME: Duration = Duration::from_secs(10);
 
 /// The guards that one request holds until the last byte of its answer is written.
 #[derive(Debug)]
@@ -54,7 +55,7 @@
     let peer = core.connections.get(context.req().body().socket_addr());
     let max_duration = core.view.load().as_ref().map_or(Duration::ZERO, |it| it.max_duration());
     let guards = RequestGuards {
-        connection: ConnectionGuard::begin(peer, max_duration + ANSWER_GRACE),
+        connection: ConnectionGuard::begin(peer, max_duration + MAX_ANSWER_READ_TIME),
         _in_flight: in_flight,
     };
     let request = match read_request(core, context, body, arrived).await {
@@ -118,7 +119,7 @@
     let customer = customer.ok_or_else(|| {
         RequestError::new(Reason::Unauthorized, "the bearer key is missing or unknown")
     })?;
-    let name = context.req().uri().path().strip_prefix(PREFIX).unwrap_or_default();
+    let name = context.req().uri().path().strip_prefix(PIPELINES_PREFIX).unwrap_or_default();
     let head = Head::check(arrived, Arc::clone(&view), customer, name, headers)?;
     core.check_freshness(&view, head.is_at_most_once(), arrived)?;
     let length = headers.get(header::CONTENT_LENGTH);
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -10,7 +10,7 @@
 use types::PoolName;
 
 /// The bounds of the histograms' buckets in seconds, up to the longest deadlines.
-const BUCKET_BOUNDS: [f64; 14] =
+const BUCKET_BOUNDS_S: [f64; 14] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 7.0, 15.0];
 
 /// The entry's metrics.
@@ -47,7 +47,7 @@
             metric
         };
         let times = |name: &str, help: &str, label: &str| {
-            let options = HistogramOpts::new(name, help).buckets(BUCKET_BOUNDS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(BUCKET_BOUNDS_S.to_vec());
             let metric = HistogramVec::new(options, &[label]);
             let metric = metric.unwrap_or_else(|e| unreachable!("{name}: {e}"));
             let _ = registry.register(Box::new(metric.clone()));
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -21,8 +21,8 @@
 pub(crate) const KEY_HEADER: &str = "idempotency-key";
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// The maximum number of generated tokens if neither caller nor stage sets one.
-const DEFAULT_TOKENS: Tokens = Tokens(256);
+/// The maximum number of tokens that a stage generates if neither the caller nor the stage sets one.
+const DEFAULT_MAX_TOKENS: Tokens = Tokens(256);
 
 /// A request that passed all checks.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     pub(crate) id: RequestId,
     pub(crate) arrived: Instant,
     pub(crate) view: Arc<ServiceView>,
-    pub(crate) ask: RequestInfo,
+    pub(crate) info: RequestInfo,
     pub(crate) pipeline: Arc<Pipeline>,
     pub(crate) input: Box<RawValue>,
     pub(crate) key: Option<IdempotencyKey>,
@@ -112,7 +112,7 @@
             id: self.id,
             arrived: self.arrived,
             view: self.view,
-            ask: RequestInfo {
+            info: RequestInfo {
                 customer: self.customer,
                 pipeline: self.name,
                 priority: self.priority,
@@ -130,7 +130,7 @@
         let stages = &request.pipeline.stages;
         let tokens = stages.iter().filter(|it| request.is_engine(it));
         let tokens = tokens.map(|it| request.tokens(it).0).sum();
-        request.ask.tokens = Tokens(tokens);
+        request.info.tokens = Tokens(tokens);
         Ok(request)
     }
 }
@@ -138,7 +138,7 @@
 impl Request {
     /// Returns the deadline of the request.
     pub(crate) fn deadline(&self) -> Instant {
-        self.ask.deadline
+        self.info.deadline
     }
 
     /// Returns the time left until a deadline.
@@ -158,7 +158,7 @@
             (Some(most), Some(asked)) if asked.0 < most.0 => asked,
             (Some(most), _) => most,
             (None, Some(asked)) => asked,
-            (None, None) => DEFAULT_TOKENS,
+            (None, None) => DEFAULT_MAX_TOKENS,
         }
     }
 }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -22,14 +22,15 @@
 use crate::shared_run::{RunKey, SharedRun};
 use crate::sink::{EventSink, Item, NoSink};
 
-/// How long past its deadline a request waits for the outcome of its own run, which is more exact
-/// than a mere timeout.
-const OUTCOME_GRACE: Duration = Duration::from_millis(250);
+/// How long past its deadline a request waits for the outcome of its run, which tells the caller more
+/// than a timeout does.
+const OUTCOME_WAIT: Duration = Duration::from_millis(250);
 
-/// The capacity of the event queue to a slow caller. Once it is full, the run waits for the caller.
-const EVENT_QUEUE: usize = 64;
+/// The maximum number of events that wait for a caller. Once they are as many, the run waits for the
+/// caller to read.
+const MAX_QUEUED_EVENTS: usize = 64;
 
-/// The largest event queue, in tokens, of a run that does not wait for its caller; far beyond what
+/// The maximum number of tokens that wait for a caller whose run does not wait for it; far more than
 /// an engine generates within any deadline.
 const MAX_QUEUED_TOKENS: u64 = 1 << 20;
 
@@ -37,9 +38,9 @@
 pub(crate) fn start<S: Session>(core: &Arc<Core<S>>, request: Request) -> mpsc::Receiver<Item> {
     let has_key = request.key.is_some();
     let capacity = if has_key {
-        request.ask.tokens.0.min(MAX_QUEUED_TOKENS) as usize + 2
+        request.info.tokens.0.min(MAX_QUEUED_TOKENS) as usize + 2
     } else {
-        EVENT_QUEUE
+        MAX_QUEUED_EVENTS
     };
     let (items, receiver) = mpsc::channel(capacity);
     let in_flight = InFlightGuard::begin(&core.drain);
@@ -52,7 +53,7 @@
 }
 
 async fn serve<S: Session>(core: Arc<Core<S>>, request: Request, items: mpsc::Sender<Item>) {
-    let customer = request.ask.customer.clone();
+    let customer = request.info.customer.clone();
     core.usage.request_arrived(&customer);
     let (id, arrived) = (request.id, request.arrived);
     let reply = if request.key.is_some() {
@@ -90,7 +91,7 @@
 }
 
 fn admit<S: Session>(core: &Core<S>, request: &Request) -> Result<Admission, RequestError> {
-    Ok(core.router.admit(&request.ask, Instant::now())?)
+    Ok(core.router.admit(&request.info, Instant::now())?)
 }
 
 /// Admits and runs a request that needs no claim.
@@ -131,12 +132,12 @@
 /// Runs a request that needs no claim, or joins an identical run that is in flight.
 async fn run_coalesced<S: Session>(core: &Arc<Core<S>>, request: Request) -> Reply {
     let (id, arrived, deadline) = (request.id, request.arrived, request.deadline());
-    let key = RunKey { customer: request.ask.customer.clone(), fingerprint: request.fingerprint };
+    let key = RunKey { customer: request.info.customer.clone(), fingerprint: request.fingerprint };
     let request = Arc::new(request);
     loop {
         let start = || spawn_run(core, &request, &key);
         let (run, started) = core.shared_runs.get_or_start(&key, start);
-        let ending = timeout_at((deadline + OUTCOME_GRACE).into(), run.ending()).await;
+        let ending = timeout_at((deadline + OUTCOME_WAIT).into(), run.ending()).await;
         drop(run);
         let ending = match ending {
             Ok(Some(ending)) => ending,
@@ -145,9 +146,10 @@
             Ok(None) => run_aborted(),
             Err(_) => deadline_passed(),
         };
-        let shorter =
+        // The caller that started the run may have set an earlier deadline than this one.
+        let run_timed_out =
             matches!(&ending, Ending::Problem(it) if it.error().reason == Reason::Deadline);
-        if shorter && !started && Instant::now() < deadline {
+        if run_timed_out && !started && Instant::now() < deadline {
             continue;
         }
         return Reply::new(&ending, id, arrived.elapsed());
@@ -184,7 +186,7 @@
     items: &mpsc::Sender<Item>,
 ) -> Option<Reply> {
     let (id, deadline) = (request.id, request.deadline());
-    let key = ClaimKey { customer: request.ask.customer.clone(), key: request.key.clone()? };
+    let key = ClaimKey { customer: request.info.customer.clone(), key: request.key.clone()? };
     let mut reply = match core.claims.lookup_or_insert(&key, request.fingerprint) {
         ClaimLookup::Start(sender, reply) => {
             let events = request.stream.then(|| items.clone());
@@ -206,8 +208,7 @@
             return Some(Reply::refuse(error, true, id));
         }
     };
-    let ended =
-        timeout_at((deadline + OUTCOME_GRACE).into(), reply.wait_for(Option::is_some)).await;
+    let ended = timeout_at((deadline + OUTCOME_WAIT).into(), reply.wait_for(Option::is_some)).await;
     let ended = ended.ok().and_then(Result::ok).and_then(|it| it.clone());
     Some(ended.unwrap_or_else(|| still_running(id)))
 }
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -32,7 +32,7 @@
     fn finish(
         &self,
         key: ClaimKey,
-        proof: ClaimTicket,
+        ticket: ClaimTicket,
         answer: StoredAnswer,
         deadline: Instant,
     ) -> impl Future<Output = Result<(), ClaimError>> + Send;
@@ -41,7 +41,7 @@
     fn release(
         &self,
         key: ClaimKey,
-        proof: ClaimTicket,
+        ticket: ClaimTicket,
         deadline: Instant,
     ) -> impl Future<Output = Result<(), ClaimError>> + Send;
 
@@ -79,20 +79,20 @@
     fn finish(
         &self,
         key: ClaimKey,
-        proof: ClaimTicket,
+        ticket: ClaimTicket,
         answer: StoredAnswer,
         deadline: Instant,
     ) -> impl Future<Output = Result<(), ClaimError>> + Send {
-        Follower::finish(self, key, proof, answer, deadline)
+        Follower::finish(self, key, ticket, answer, deadline)
     }
 
     fn release(
         &self,
         key: ClaimKey,
-        proof: ClaimTicket,
+        ticket: ClaimTicket,
         deadline: Instant,
     ) -> impl Future<Output = Result<(), ClaimError>> + Send {
-        Follower::release(self, key, proof, deadline)
+        Follower::release(self, key, ticket, deadline)
     }
 
     fn usage(&self, report: UsageReport) {
--- a/crates/entry/src/stage.rs
+++ b/crates/entry/src/stage.rs
@@ -70,7 +70,7 @@
         call: CallId::random(),
         request: request.id,
         stage: &step.stage.name,
-        priority: request.ask.priority,
+        priority: request.info.priority,
         deadline_ms: Request::left(step.deadline).as_millis() as u64,
         input: &request.input,
         previous: step.previous,
--- a/crates/entry/src/step.rs
+++ b/crates/entry/src/step.rs
@@ -20,8 +20,8 @@
 /// Once a stage has made this many calls, it does not call an upstream again that it already tried.
 const MAX_REPEAT_CALLS: u32 = 4;
 
-/// How far past the deadline a limit is set that must not expire before the deadline.
-const BEYOND_DEADLINE: Duration = Duration::from_secs(1);
+/// How far past the deadline those limits are set that must not expire before it.
+const DEADLINE_MARGIN: Duration = Duration::from_secs(1);
 
 /// One stage of one request.
 pub(crate) struct Step<'a, S> {
@@ -81,7 +81,7 @@
     ) -> Self {
         let began = Instant::now();
         let deadline =
-            core.router.stage_deadline(&request.ask, index, began).min(request.deadline());
+            core.router.stage_deadline(&request.info, index, began).min(request.deadline());
         let stage = &request.pipeline.stages[index];
         Self { core, request, index, stage, previous, deadline, began }
     }
@@ -90,7 +90,7 @@
     pub(crate) async fn wait_for_slot(&self) -> Result<PoolSlot, RequestError> {
         let turn = self.core.router.request_slot(
             &self.stage.pool,
-            &self.request.ask,
+            &self.request.info,
             self.deadline,
             self.began,
         );
@@ -110,7 +110,7 @@
     /// is the pool's backlog, which admission accounts for separately.
     pub(crate) fn ended(&self, slot: &PoolSlot) {
         let took = slot.taken_at.elapsed();
-        self.core.router.stage_ended(&self.request.ask, self.index, took, Instant::now());
+        self.core.router.stage_ended(&self.request.info, self.index, took, Instant::now());
     }
 
     /// Chooses an upstream.
@@ -125,8 +125,9 @@
             return Err(self.deadline_passed("before it was called"));
         }
         self.check_claim(now)?;
-        let ask = PickRequest { pool: &self.stage.pool, prefix, exclude: &attempts.tried, left };
-        Ok(self.core.router.pick(&ask, now, &mut rand::rng())?)
+        let pick_request =
+            PickRequest { pool: &self.stage.pool, prefix, exclude: &attempts.tried, left };
+        Ok(self.core.router.pick(&pick_request, now, &mut rand::rng())?)
     }
 
     /// Checks before a call that may not be repeated that its claim must still be held.
@@ -184,7 +185,7 @@
         if self.stage.repeatable {
             return limits;
         }
-        let left = Request::left(self.deadline) + BEYOND_DEADLINE;
+        let left = Request::left(self.deadline) + DEADLINE_MARGIN;
         Limits { first_byte: left, idle: left, ..limits }
     }
 
@@ -193,7 +194,7 @@
         let Used { total, tokens, busy } = used;
         let end = CallEnd::Ok { first_byte, total, tokens };
         self.core.router.call_ended(pick, end, Instant::now());
-        self.core.router.charge(&self.request.ask.customer, tokens, Instant::now());
+        self.core.router.charge(&self.request.info.customer, tokens, Instant::now());
         self.core.metrics.call_used(&self.stage.pool, total);
         self.core.usage.call_used(&self.account(), busy, tokens);
     }
@@ -302,7 +303,7 @@
 
     pub(crate) fn account(&self) -> Account<'_> {
         let Stage { name: stage, pool, .. } = self.stage;
-        Account { customer: &self.request.ask.customer, stage, pool }
+        Account { customer: &self.request.info.customer, stage, pool }
     }
 
     /// Returns the stage's entry in the answer.
--- a/crates/entry/src/tasks.rs
+++ b/crates/entry/src/tasks.rs
@@ -16,16 +16,16 @@
 use crate::session::Session;
 
 /// How often the router refuses queued work that can no longer meet its deadline.
-const QUEUE_CHECK_PERIOD: Duration = Duration::from_millis(5);
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How often calls in flight are reported.
-const LOAD_REPORT_PERIOD: Duration = Duration::from_millis(150);
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(150);
 
 /// How often usage is reported.
-const USAGE_REPORT_PERIOD: Duration = Duration::from_secs(1);
+const USAGE_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often closed connections and abandoned runs are removed.
-const SWEEP_PERIOD: Duration = Duration::from_millis(250);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 pub(crate) fn spawn<S: Session>(
     core: &Arc<Core<S>>,
@@ -36,10 +36,10 @@
     }
     vec![
         core.runtime.spawn(handle_events(Arc::clone(core), events)),
-        every(core, QUEUE_CHECK_PERIOD, |core| core.router.tick(Instant::now())),
-        every(core, LOAD_REPORT_PERIOD, |core| core.session.load(&core.router.in_flight())),
-        every(core, USAGE_REPORT_PERIOD, report_usage),
-        every(core, SWEEP_PERIOD, |core| {
+        every(core, QUEUE_CHECK_INTERVAL, |core| core.router.tick(Instant::now())),
+        every(core, LOAD_REPORT_INTERVAL, |core| core.session.load(&core.router.in_flight())),
+        every(core, USAGE_REPORT_INTERVAL, report_usage),
+        every(core, SWEEP_INTERVAL, |core| {
             core.connections.sweep();
             core.shared_runs.remove_abandoned();
         }),
--- a/crates/entry/tests/claims.rs
+++ b/crates/entry/tests/claims.rs
@@ -81,12 +81,12 @@
 }
 
 fn call_names(session: &FakeSession) -> Vec<String> {
-    let word = |asked: &SessionCall| match asked {
+    let word = |call: &SessionCall| match call {
         SessionCall::Claim(_) => "claim".to_owned(),
         SessionCall::Release(_) => "release".to_owned(),
         SessionCall::Finish(_, answer) => format!("finish {}", answer.outcome),
     };
-    session.asked().iter().map(word).collect()
+    session.received().iter().map(word).collect()
 }
 
 fn rejected<T>() -> Result<T, ClaimError> {
@@ -112,7 +112,7 @@
     status: u16,
     outcome: &'static str,
     reason: &'static str,
-    asked: &'static [&'static str],
+    session_calls: &'static [&'static str],
     calls: usize,
 }
 
@@ -127,7 +127,7 @@
             status: 200,
             outcome: "complete",
             reason: "",
-            asked: &["claim"],
+            session_calls: &["claim"],
             calls: 0,
         }
     }
@@ -141,75 +141,79 @@
 fn granted() -> Vec<Case> {
     let released: &[&str] = &["claim", "release"];
     vec![
-        Case { asked: &["claim", "finish complete"], calls: 1, ..Case::new("it is answered") },
+        Case {
+            session_calls: &["claim", "finish complete"],
+            calls: 1,
+            ..Case::new("it is answered")
+        },
         Case {
             book: Behavior::Closes,
-            asked: &["claim", "finish unknown"],
+            session_calls: &["claim", "finish unknown"],
             calls: 1,
             ..Case::new("its answer is lost").reports(504, "unknown", "call-lost")
         },
         Case {
             book: Behavior::Swaps,
-            asked: &["claim", "finish unknown"],
+            session_calls: &["claim", "finish unknown"],
             calls: 1,
             ..Case::new("another call's answer comes").reports(504, "unknown", "call-lost")
         },
         Case {
             book: Behavior::Errs,
-            asked: &["claim", "finish failed"],
+            session_calls: &["claim", "finish failed"],
             calls: 1,
             ..Case::new("the service says it failed").reports(502, "failed", "upstream")
         },
         Case {
             book: Behavior::Declines,
-            asked: released,
+            session_calls: released,
             calls: 2,
             ..Case::new("the service declines").reports(502, "failed", "declined")
         },
         Case {
             book: Behavior::Refuses,
-            asked: released,
+            session_calls: released,
             ..Case::new("the service is not there").reports(502, "failed", "no-upstream")
         },
         Case {
             encode: Behavior::Errs,
-            asked: released,
+            session_calls: released,
             ..Case::new("a stage before it fails").reports(502, "failed", "upstream")
         },
         Case {
             encode: Behavior::Refuses,
-            asked: released,
+            session_calls: released,
             ..Case::new("no stage could be called").reports(503, "not-run", "no-upstream")
         },
         Case {
             encode: Behavior::Refuses,
             releases: vec![uncertain(), Ok(())],
-            asked: &["claim", "release", "release"],
+            session_calls: &["claim", "release", "release"],
             ..Case::new("the first release is lost").reports(503, "not-run", "no-upstream")
         },
         Case {
             encode: Behavior::Refuses,
             releases: vec![rejected(), Ok(())],
-            asked: &["claim", "release", "release"],
+            session_calls: &["claim", "release", "release"],
             ..Case::new("the first release is rejected").reports(503, "not-run", "no-upstream")
         },
         Case {
             claims: vec![Ok(ClaimAnswer::Granted), Ok(ClaimAnswer::Running)],
             encode: Behavior::Refuses,
             releases: vec![rejected(), Ok(())],
-            asked: &["claim", "release", "release"],
+            session_calls: &["claim", "release", "release"],
             ..Case::new("another attempt holds the key while the first release is rejected")
                 .reports(503, "not-run", "no-upstream")
         },
         Case {
             encode: Behavior::Refuses,
             releases: vec![Err(ClaimError::Ended(ClaimAnswer::OwnerLost))],
-            asked: &["claim", "release"],
+            session_calls: &["claim", "release"],
             ..Case::new("the claim is no longer ours").reports(409, "unknown", "claim-lost")
         },
         Case {
             claims: vec![uncertain(), Ok(ClaimAnswer::Granted)],
-            asked: &["claim", "claim", "finish complete"],
+            session_calls: &["claim", "claim", "finish complete"],
             calls: 1,
             ..Case::new("the first answer to the claim is lost")
         },
@@ -225,12 +229,12 @@
         },
         Case {
             claims: vec![uncertain(), Ok(ClaimAnswer::Running)],
-            asked: &["claim", "claim", "release"],
+            session_calls: &["claim", "claim", "release"],
             ..Case::new("running, and a sending before was lost").reports(409, "unknown", "running")
         },
         Case {
             claims: vec![uncertain(), stored(Some("{\"a\":1}"))],
-            asked: &["claim", "claim"],
+            session_calls: &["claim", "claim"],
             ..Case::new("done, and a sending before was lost")
         },
         Case { claims: vec![stored(Some("{\"a\":1}"))], ..Case::new("done") },
@@ -272,7 +276,7 @@
             (case.status, case.outcome, case.reason.to_owned()),
             "{name}: {answer:?}"
         );
-        assert_eq!(call_names(&fixture.session), case.asked, "{name}");
+        assert_eq!(call_names(&fixture.session), case.session_calls, "{name}");
         let is_retryable = matches!(case.status, 409 | 503);
         assert!(!is_retryable || answer.header("retry-after").is_some(), "{name}: {answer:?}");
         fixture.entry.drain().await;
@@ -293,7 +297,7 @@
     until(|| call_names(&fixture.session).last().is_some_and(|it| it == "release")).await;
     let tickets: Vec<_> = fixture
         .session
-        .asked()
+        .received()
         .into_iter()
         .filter_map(|it| if let SessionCall::Claim(claim) = it { Some(claim.ticket) } else { None })
         .collect();
@@ -318,13 +322,13 @@
 
     fixture.session.claims.lock().unwrap().extend((0..100).map(|_| rejected()));
     let first = ask("k2").await;
-    let asked = fixture.session.asked().len();
+    let before = fixture.session.received().len();
     let second = ask("k3").await;
     for answer in [first, second] {
         let reported = (answer.status, answer.outcome(), answer.reason());
         assert_eq!(reported, (503, "unknown", "no-quorum".to_owned()), "{answer:?}");
     }
-    assert_eq!(fixture.session.asked().len(), asked + 1);
+    assert_eq!(fixture.session.received().len(), before + 1);
     assert_eq!(fixture.calls(), 1);
     fixture.entry.drain().await;
 }
@@ -366,9 +370,9 @@
     let wait = Arc::clone(&gate);
     let encode = FakeUpstream::spawn(|seen| stage_ok(seen, &json!(1))).await;
     let book = FakeUpstream::spawn(move |seen| {
-        let mut acts = stage_ok(seen, &json!("booked"));
-        acts.insert(0, Action::Wait(Arc::clone(&wait)));
-        acts
+        let mut actions = stage_ok(seen, &json!("booked"));
+        actions.insert(0, Action::Wait(Arc::clone(&wait)));
+        actions
     });
     let book = [book.await, FakeUpstream::spawn(|_| vec![Action::Close]).await];
     let pools =
--- a/crates/entry/tests/front.rs
+++ b/crates/entry/tests/front.rs
@@ -114,9 +114,9 @@
     let gate = Arc::new(Notify::new());
     let wait = Arc::clone(&gate);
     let encode = FakeUpstream::spawn(move |seen| {
-        let mut acts = stage_ok(seen, &json!("own"));
-        acts.insert(0, Action::Wait(Arc::clone(&wait)));
-        acts
+        let mut actions = stage_ok(seen, &json!("own"));
+        actions.insert(0, Action::Wait(Arc::clone(&wait)));
+        actions
     });
     let encode = encode.await;
     let pools = Pools { encode: vec![encode.address], ..Pools::default() };
@@ -152,9 +152,9 @@
     let gate = Arc::new(Notify::new());
     let wait = Arc::clone(&gate);
     let encode = FakeUpstream::spawn(move |seen| {
-        let mut acts = stage_ok(seen, &json!(1));
-        acts.insert(0, Action::Wait(Arc::clone(&wait)));
-        acts
+        let mut actions = stage_ok(seen, &json!(1));
+        actions.insert(0, Action::Wait(Arc::clone(&wait)));
+        actions
     });
     let encode = encode.await;
     let pools = Pools { encode: vec![encode.address], ..Pools::default() };
--- a/crates/entry/tests/path.rs
+++ b/crates/entry/tests/path.rs
@@ -147,11 +147,11 @@
         if seen.connection < limit.load(Ordering::SeqCst) {
             return vec![Action::Hang];
         }
-        let mut acts = stage_ok(seen, &seen.body["input"]);
+        let mut actions = stage_ok(seen, &seen.body["input"]);
         if seen.number < 8 {
-            acts.insert(0, Action::Wait(Arc::clone(&wait)));
+            actions.insert(0, Action::Wait(Arc::clone(&wait)));
         }
-        acts
+        actions
     });
     let encode = encode.await;
     let pools = Pools { encode: vec![encode.address], ..Pools::default() };
--- a/crates/entry/tests/streams.rs
+++ b/crates/entry/tests/streams.rs
@@ -26,10 +26,10 @@
 }
 
 fn cut(seen: &Received, from: u64, to: u64) -> Vec<Action> {
-    let mut acts = vec![stream_head(&seen.id)];
-    acts.extend((from..to).map(|position| token(&seen.id, position, &format!("t{position} "))));
-    acts.push(Action::Close);
-    acts
+    let mut actions = vec![stream_head(&seen.id)];
+    actions.extend((from..to).map(|position| token(&seen.id, position, &format!("t{position} "))));
+    actions.push(Action::Close);
+    actions
 }
 
 fn tokens(events: &[(String, Value)]) -> Vec<(u64, String)> {
@@ -229,9 +229,9 @@
     assert_eq!(tokens(&events), want);
     let (last, end) = events.last().unwrap();
     assert_eq!((last.as_str(), events.len()), ("end", 301));
-    let asked = session.asked();
-    let Some(SessionCall::Finish(_, stored)) = asked.last() else {
-        panic!("not stored: {asked:?}")
+    let received = session.received();
+    let Some(SessionCall::Finish(_, stored)) = received.last() else {
+        panic!("not stored: {received:?}")
     };
     assert!(stored.body.is_none() && stored.outcome == Outcome::Complete, "{stored:?}");
 
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -45,14 +45,14 @@
     pub(crate) finishes: Mutex<VecDeque<Result<(), ClaimError>>>,
     pub(crate) releases: Mutex<VecDeque<Result<(), ClaimError>>>,
     pub(crate) hold: Mutex<Option<Arc<Notify>>>,
-    asked: Mutex<Vec<SessionCall>>,
+    received: Mutex<Vec<SessionCall>>,
     usage: Mutex<Vec<UsageReport>>,
     drain_reported: Mutex<bool>,
 }
 
 impl FakeSession {
-    pub(crate) fn asked(&self) -> Vec<SessionCall> {
-        self.asked.lock().unwrap().clone()
+    pub(crate) fn received(&self) -> Vec<SessionCall> {
+        self.received.lock().unwrap().clone()
     }
 
     pub(crate) fn usage(&self) -> Vec<UsageReport> {
@@ -93,7 +93,7 @@
         request: ClaimRequest,
         _by: Instant,
     ) -> impl Future<Output = Result<Claimed, ClaimError>> + Send {
-        self.asked.lock().unwrap().push(SessionCall::Claim(request));
+        self.received.lock().unwrap().push(SessionCall::Claim(request));
         let answer = Self::next(&self.claims, Ok(ClaimAnswer::Granted));
         std::future::ready(answer.map(Claimed::certain))
     }
@@ -101,23 +101,23 @@
     async fn finish(
         &self,
         key: ClaimKey,
-        _proof: ClaimTicket,
+        _ticket: ClaimTicket,
         answer: StoredAnswer,
         _by: Instant,
     ) -> Result<(), ClaimError> {
         self.wait_if_held().await;
-        self.asked.lock().unwrap().push(SessionCall::Finish(key, answer));
+        self.received.lock().unwrap().push(SessionCall::Finish(key, answer));
         Self::next(&self.finishes, Ok(()))
     }
 
     async fn release(
         &self,
         key: ClaimKey,
-        _proof: ClaimTicket,
+        _ticket: ClaimTicket,
         _by: Instant,
     ) -> Result<(), ClaimError> {
         self.wait_if_held().await;
-        self.asked.lock().unwrap().push(SessionCall::Release(key));
+        self.received.lock().unwrap().push(SessionCall::Release(key));
         Self::next(&self.releases, Ok(()))
     }
 
