--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -135,7 +135,7 @@
     }
     let row = |(name, it): (&types::UpstreamName, &fleet::UpstreamStatus)| UpstreamRow {
         upstream: name.clone(),
-        standing: it.standing,
+        standing: it.availability,
         in_flight: it.in_flight,
         reported: it.reported,
         why: join_reasons(&it.why, &it.order),
--- a/crates/fleet/examples/polls.rs
+++ b/crates/fleet/examples/polls.rs
@@ -29,12 +29,12 @@
 const BUSY_UPSTREAMS: usize = 20;
 
 /// How often an entry reports.
-const REPORT_PERIOD: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The number of bursts in which the reports of a period arrive. If they arrived one by one, they
-/// would wake the thread hundreds of times per second, which is the cost of the socket they come
+/// The number of bursts in which the reports of one interval arrive. If they arrived one by one,
+/// they would wake the thread hundreds of times per second, which is the cost of the socket they come
 /// from, not of the fleet.
-const BURSTS: usize = 10;
+const BURSTS_PER_INTERVAL: usize = 10;
 
 const WARM_UP: Duration = Duration::from_secs(10);
 
@@ -92,7 +92,7 @@
     fleet.lead(Arc::new(service(addresses)));
     let names: Vec<UpstreamName> = (0..UPSTREAMS).map(name).collect();
     let entries: Vec<VmName> = (0..ENTRIES).map(|it| format!("vm-{it}").parse().unwrap()).collect();
-    let mut reports = interval(REPORT_PERIOD / BURSTS as u32);
+    let mut reports = interval(REPORT_INTERVAL / BURSTS_PER_INTERVAL as u32);
     let (mut sequence, mut bytes, mut loads) = (0, 0, 0);
     let (mut started, mut spent) = (None, Duration::ZERO);
     let start = Instant::now();
@@ -103,7 +103,7 @@
         }
         tokio::select! {
             _ = reports.tick() => {
-                for _ in 0..ENTRIES / BURSTS {
+                for _ in 0..ENTRIES / BURSTS_PER_INTERVAL {
                     fleet.take_report(report(sequence, &entries, &names));
                     sequence += 1;
                 }
--- a/crates/fleet/src/standing.rs
+++ b/crates/fleet/src/availability.rs
@@ -44,11 +44,11 @@
     }
 }
 
-/// An upstream's standing with its reason.
+/// An upstream's availability with its reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct DerivedAvailability {
     /// Whether it gets new work.
-    pub standing: UpstreamStanding,
+    pub availability: UpstreamStanding,
     /// The reason; empty if nothing is wrong.
     pub why: String,
     /// Whether any source reported it as leaving, rather than it merely refusing connections.
@@ -122,37 +122,37 @@
     }
 }
 
-/// Returns the standing of each upstream of a pool.
+/// Returns the availability of each upstream of a pool.
 ///
 /// Refused connections alone never empty a pool: an upstream that refuses connections is no worse
 /// than none, and it may be back before the next poll.
-pub fn standings(
+pub fn derive_availability(
     pool: &Pool,
     observations: &BTreeMap<UpstreamName, Observation>,
-) -> BTreeMap<UpstreamName, Standing> {
+) -> BTreeMap<UpstreamName, DerivedAvailability> {
     let unseen = Observation::default();
     let seen = |name: &UpstreamName| observations.get(name).unwrap_or(&unseen);
     let others = pool.upstreams.iter().any(|(name, spec)| {
         let observation = seen(name);
         observation.leaving(spec.leaving).is_none() && !observation.is_refusing()
     });
-    let standing_of = |observation: &Observation, spec: bool| match observation.leaving(spec) {
+    let derive = |observation: &Observation, spec: bool| match observation.leaving(spec) {
         Some(why) => {
             let why = why.to_owned();
-            Standing { standing: UpstreamStanding::Leaving, why, announced: true }
+            DerivedAvailability { availability: UpstreamStanding::Leaving, why, announced: true }
         }
-        None if !observation.is_refusing() => Standing::default(),
-        None if others => Standing {
-            standing: UpstreamStanding::Leaving,
+        None if !observation.is_refusing() => DerivedAvailability::default(),
+        None if others => DerivedAvailability {
+            availability: UpstreamStanding::Leaving,
             why: format!("it refused {} connections in a row", observation.refused),
             announced: false,
         },
-        None => Standing {
-            standing: UpstreamStanding::Live,
+        None => DerivedAvailability {
+            availability: UpstreamStanding::Live,
             why: "it refuses connections, but its pool has no other".to_owned(),
             announced: false,
         },
     };
     let all = pool.upstreams.iter();
-    all.map(|(name, spec)| (name.clone(), standing_of(seen(name), spec.leaving))).collect()
+    all.map(|(name, spec)| (name.clone(), derive(seen(name), spec.leaving))).collect()
 }
--- a/crates/fleet/src/client.rs
+++ b/crates/fleet/src/client.rs
@@ -17,7 +17,7 @@
 use types::{StepError, StepResult};
 
 /// The largest response body that is read, in bytes.
-const BODY_LIMIT: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// How long an unused connection is kept open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
@@ -113,7 +113,8 @@
         let answer = async {
             let response = self.client.request(request).await.map_err(|e| fault(e.into()))?;
             let (head, body) = response.into_parts();
-            let body = Limited::new(body, BODY_LIMIT).collect().await.map_err(fault)?.to_bytes();
+            let body =
+                Limited::new(body, MAX_BODY_BYTES).collect().await.map_err(fault)?.to_bytes();
             let draining = head.headers.get(DRAINING_HEADER).is_some_and(|it| it == "true");
             Ok(Reply { status: head.status, draining, body })
         };
--- a/crates/fleet/src/digest.rs
+++ b/crates/fleet/src/digest.rs
@@ -6,11 +6,11 @@
 use types::{Digest, UpstreamLoad, UpstreamName, UpstreamStanding};
 
 /// How often a digest contains every upstream.
-const FULL_PERIOD: Duration = Duration::from_secs(10);
+const FULL_DIGEST_INTERVAL: Duration = Duration::from_secs(10);
 
 /// How often a digest contains an upstream that is leaving, since a full queue on the way may drop
 /// an earlier one.
-const LEAVING_PERIOD: Duration = Duration::from_secs(2);
+const LEAVING_REPEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The maximum number of loads in a digest that is not full. With two digests per second and five
 /// bytes per load, this bounds the traffic to each entry to 2 KB/s, however many upstreams there
@@ -38,7 +38,8 @@
 
     /// Returns a digest of what changed among `loads`, or `None` if nothing did.
     pub fn make(&mut self, loads: &[UpstreamLoad], entries: u32, now: Instant) -> Option<Digest> {
-        let full = self.full_at.is_none_or(|at| now.saturating_duration_since(at) >= FULL_PERIOD);
+        let full =
+            self.full_at.is_none_or(|at| now.saturating_duration_since(at) >= FULL_DIGEST_INTERVAL);
         let changes = if full { loads.to_vec() } else { self.changes(loads, now) };
         if full {
             self.full_at = Some(now);
@@ -64,7 +65,7 @@
         changes.into_iter().map(|(_, load)| load.clone()).collect()
     }
 
-    /// Returns the priority of a load by the error that an entry has without it: a changed standing
+    /// Returns the priority of a load by the error that an entry has without it: changed availability
     /// first, then changed counts, then counts that were confirmed again.
     fn priority(&self, load: &UpstreamLoad, now: Instant) -> u64 {
         let Some((before, at)) = self.sent.get(&load.upstream) else {
@@ -74,7 +75,7 @@
             return u64::MAX;
         }
         let elapsed = now.saturating_duration_since(*at);
-        if load.standing == UpstreamStanding::Leaving && elapsed >= LEAVING_PERIOD {
+        if load.standing == UpstreamStanding::Leaving && elapsed >= LEAVING_REPEAT_INTERVAL {
             return u64::MAX - 1;
         }
         let counts =
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -13,11 +13,11 @@
 use crate::leader::Leader;
 use crate::{Authority, FleetView};
 
-/// The number of digests that wait for control.
-const DIGEST_QUEUE: usize = 16;
+/// The maximum number of digests that wait for control.
+const MAX_QUEUED_DIGESTS: usize = 16;
 
-/// The number of reports and digests that wait to be handled.
-const MESSAGE_QUEUE: usize = 1_024;
+/// The maximum number of reports and digests that wait to be handled.
+const MAX_QUEUED_MESSAGES: usize = 1_024;
 
 /// The configuration of the fleet.
 #[derive(Clone, Debug, Default)]
@@ -60,8 +60,8 @@
         config: FleetConfig,
         authority: A,
     ) -> (Self, mpsc::Receiver<Digest>) {
-        let (digests, receiver) = mpsc::channel(DIGEST_QUEUE);
-        let (messages, received) = mpsc::channel(MESSAGE_QUEUE);
+        let (digests, receiver) = mpsc::channel(MAX_QUEUED_DIGESTS);
+        let (messages, received) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let (inputs, watched) = watch::channel(Inputs::default());
         let view = Arc::new(ArcSwap::default());
         let leader = Leader::new(authority, config.platform, Arc::clone(&view), digests);
--- a/crates/fleet/src/leader.rs
+++ b/crates/fleet/src/leader.rs
@@ -23,10 +23,10 @@
 use crate::{Authority, FleetView, Target};
 
 /// How often the polls that are due are started.
-const POLL_TICK: Duration = Duration::from_millis(50);
+const START_POLLS_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How often digests are built and orders are decided.
-const DECIDE_TICK: Duration = Duration::from_millis(500);
+const DECIDE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a new leader delays its first digest, until its first polls have ended. An earlier
 /// digest would report upstreams as live that this leader has not polled yet, although the previous
@@ -34,7 +34,7 @@
 const FIRST_DIGEST_DELAY: Duration = Duration::from_millis(1_200);
 
 /// How often the platform's list is read.
-const PLATFORM_PERIOD: Duration = Duration::from_secs(2);
+const PLATFORM_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The maximum number of load polls in flight.
 const MAX_LOAD_POLLS: usize = 64;
@@ -42,10 +42,11 @@
 /// The maximum number of reads of last orders in flight.
 const MAX_READ_POLLS: usize = 16;
 
-/// The shortest and the longest period between reads of an engine's last order. In between, the
-/// period is half the longest time of an order. Reading continues after an engine shows its target:
-/// an order of a leader that was frozen may still arrive, and only a read detects it.
-const READ_PERIODS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
+/// The shortest and the longest interval between two reads of an engine's last order. In between,
+/// the interval is half the longest time of an order. Reading continues after an engine shows its
+/// target: an order of a leader that was frozen may still arrive, and only a read detects it.
+const READ_INTERVAL_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(500), Duration::from_secs(5));
 
 /// The result of a task.
 enum TaskResult {
@@ -137,10 +138,10 @@
         let current = inputs.borrow().clone();
         self.start_term(&current);
         let mut tasks = JoinSet::new();
-        let mut polls = interval(POLL_TICK);
-        let mut decides = interval(DECIDE_TICK);
+        let mut polls = interval(START_POLLS_INTERVAL);
+        let mut decisions = interval(DECIDE_INTERVAL);
         polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        decides.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        decisions.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 biased;
@@ -157,7 +158,7 @@
                 },
                 Some(message) = messages.recv() => self.handle_message(message),
                 _ = polls.tick() => self.poll(&mut tasks),
-                _ = decides.tick() => self.decide(term, inputs, &mut tasks),
+                _ = decisions.tick() => self.decide(term, inputs, &mut tasks),
             }
         }
     }
@@ -195,9 +196,9 @@
         self.loads.set_load(reporting, now, &mut rand::rng());
         let engines = upstreams(service).filter(|(_, it)| Target::of(service, it).is_some());
         let engines = engines.map(|(name, _)| name.clone()).collect();
-        let period = Duration::from(service.orders.longest) / 2;
-        let period = period.clamp(READ_PERIODS.0, READ_PERIODS.1);
-        self.reads.set(engines, period, now, &mut rand::rng());
+        let interval = Duration::from(service.orders.longest) / 2;
+        let interval = interval.clamp(READ_INTERVAL_BOUNDS.0, READ_INTERVAL_BOUNDS.1);
+        self.reads.set(engines, interval, now, &mut rand::rng());
     }
 
     fn handle_message(&mut self, message: Message) {
@@ -211,7 +212,7 @@
     fn poll(&mut self, tasks: &mut JoinSet<TaskResult>) {
         let now = Instant::now();
         if let Some(platform) = self.platform.filter(|_| self.list_due <= now) {
-            self.list_due = now + PLATFORM_PERIOD;
+            self.list_due = now + PLATFORM_POLL_INTERVAL;
             let http = self.http.clone();
             tasks.spawn(async move { TaskResult::List(poll::list(&http, platform).await) });
         }
@@ -305,7 +306,7 @@
         tasks: &mut JoinSet<TaskResult>,
     ) {
         let now = Instant::now();
-        self.state.update_standings(now);
+        self.state.update_availability(now);
         self.send_digest(now);
         let leaving = self.state.leaving();
         let service = Arc::clone(&self.service);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,6 +5,7 @@
 //! goes through [`Authority`], which control implements.
 
 mod authority;
+pub mod availability;
 pub mod bucket;
 mod client;
 pub mod digest;
@@ -15,7 +16,6 @@
 pub mod plan;
 pub mod platform;
 mod poll;
-pub mod standing;
 mod state;
 mod target;
 mod view;
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -9,8 +9,9 @@
 use crate::Target;
 use crate::bucket::WeightBucket;
 
-/// The divisor of the share of a pool's engines that may load at once while they could serve.
-const LOADING_SHARE: usize = 4;
+/// An engine that serves is not told to load weights while as many engines of its pool load already
+/// as the size of the pool divided by this, but at least one.
+const LOADING_DIVISOR: usize = 4;
 
 /// The backoff after a failed order to the same engine. It doubles with each consecutive failure,
 /// because each order is committed in the log.
@@ -20,7 +21,7 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 /// How long an engine that accepted an order and does not answer since counts as loading.
-const MAX_SILENCE: Duration = Duration::from_secs(300);
+const MAX_LOAD_SILENCE: Duration = Duration::from_secs(300);
 
 /// The state of an engine's last order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -96,7 +97,7 @@
     in_flight: Option<Target>,
     last: Option<LastOrder>,
     failures: u32,
-    // Since when it has been loading something other than its target.
+    /// When it was first seen to load something other than its target, if it does.
     other_load_since: Option<Instant>,
 }
 
@@ -202,7 +203,7 @@
         let engine = |name: &UpstreamName| engines.get(name).unwrap_or(&unknown);
         let staying = pool.upstreams.keys().filter(|name| !self.leaving.contains(*name));
         let mut loading = staying.filter(|name| engine(name).is_loading(self.now)).count();
-        let share = (pool.upstreams.len() / LOADING_SHARE).max(1);
+        let max_loading = (pool.upstreams.len() / LOADING_DIVISOR).max(1);
         let mut due: Vec<(bool, &UpstreamName, Target, bool)> = Vec::new();
         for (name, upstream) in &pool.upstreams {
             if let Decision::Order { target, weights } = self.decide(name, upstream, engine(name)) {
@@ -213,7 +214,7 @@
         due.sort_by_key(|(serves, ..)| *serves);
         for (serves, name, target, weights) in due {
             if weights {
-                if serves && loading >= share {
+                if serves && loading >= max_loading {
                     continue;
                 }
                 if !bucket.is_open(self.service.orders.weights, self.now) {
@@ -325,10 +326,9 @@
         }
         match &self.shown {
             Some(shown) => shown.state == LoadState::Loading,
-            None => self
-                .last
-                .as_ref()
-                .is_some_and(|it| !it.failed && now.saturating_duration_since(it.at) < MAX_SILENCE),
+            None => self.last.as_ref().is_some_and(|it| {
+                !it.failed && now.saturating_duration_since(it.at) < MAX_LOAD_SILENCE
+            }),
         }
     }
 }
--- a/crates/fleet/src/poll.rs
+++ b/crates/fleet/src/poll.rs
@@ -9,14 +9,14 @@
 use serde::Deserialize;
 use types::{StepError, StepResult, UpstreamName};
 
+use crate::availability::Answer;
 use crate::client::{HttpClient, is_refused};
 use crate::order;
 use crate::plan::ReadBack;
 use crate::platform::VmList;
-use crate::standing::Answer;
 
 /// How often an upstream is polled for its load.
-const LOAD_PERIOD: Duration = Duration::from_secs(1);
+const LOAD_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The maximum number of polls per second. With more upstreams, each is polled less often.
 const MAX_POLLS_PER_SECOND: u32 = 200;
@@ -24,11 +24,11 @@
 /// The timeout of a poll.
 pub(crate) const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The period over which first polls are spread.
-const INITIAL_SPREAD: Duration = Duration::from_secs(1);
+/// The longest delay of the first poll of an upstream; each delay is drawn at random.
+const MAX_INITIAL_DELAY: Duration = Duration::from_secs(1);
 
-/// The largest factor by which the period of an upstream that does not answer is extended. The
-/// factor grows by one with each unanswered poll.
+/// The largest factor by which the poll interval of an upstream that does not answer is extended.
+/// The factor grows by one with each unanswered poll.
 const MAX_BACKOFF_FACTOR: u32 = 4;
 
 /// The load that an upstream reports.
@@ -100,35 +100,35 @@
 #[derive(Debug)]
 pub(crate) struct PollSchedule {
     polls: BTreeMap<UpstreamName, ScheduledPoll>,
-    period: Duration,
+    interval: Duration,
     running: usize,
     limit: usize,
 }
 
 impl PollSchedule {
     pub(crate) fn new(limit: usize) -> Self {
-        Self { polls: BTreeMap::new(), period: LOAD_PERIOD, running: 0, limit }
+        Self { polls: BTreeMap::new(), interval: LOAD_POLL_INTERVAL, running: 0, limit }
     }
 
     /// Sets the upstreams to poll for their load, at the usual rate.
     pub(crate) fn set_load(&mut self, names: Vec<UpstreamName>, now: Instant, rng: &mut impl Rng) {
         let slowest = Duration::from_secs(1) * names.len() as u32 / MAX_POLLS_PER_SECOND;
-        self.set(names, LOAD_PERIOD.max(slowest), now, rng);
+        self.set(names, LOAD_POLL_INTERVAL.max(slowest), now, rng);
     }
 
-    /// Sets the upstreams to poll and the period. The first polls of new upstreams are spread at
+    /// Sets the upstreams to poll and the interval. The first polls of new upstreams are spread at
     /// random, which keeps their later polls apart as well.
     pub(crate) fn set(
         &mut self,
         names: Vec<UpstreamName>,
-        period: Duration,
+        interval: Duration,
         now: Instant,
         rng: &mut impl Rng,
     ) {
-        self.period = period;
+        self.interval = interval;
         let old = std::mem::take(&mut self.polls);
         for name in names {
-            let mut first = || INITIAL_SPREAD.min(period).mul_f64(rng.random_range(0.0..1.0));
+            let mut first = || MAX_INITIAL_DELAY.min(interval).mul_f64(rng.random_range(0.0..1.0));
             let known = old.get(&name).copied();
             let poll = known.unwrap_or_else(|| ScheduledPoll {
                 due: now + first(),
@@ -170,12 +170,12 @@
     /// Records that a poll ended.
     pub(crate) fn finish(&mut self, name: &UpstreamName, answered: bool, now: Instant) {
         self.running = self.running.saturating_sub(1);
-        let period = self.period;
+        let interval = self.interval;
         if let Some(poll) = self.polls.get_mut(name) {
             poll.unanswered =
                 if answered { 0 } else { (poll.unanswered + 1).min(MAX_BACKOFF_FACTOR) };
             poll.busy = false;
-            poll.due = now + period * poll.unanswered.max(1);
+            poll.due = now + interval * poll.unanswered.max(1);
         }
     }
 }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,4 +1,4 @@
-//! The leader's knowledge of the upstreams' standing and load. Does no I/O.
+//! The leader's knowledge of the upstreams' availability and load. Does no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 use wire::session::LoadReport;
 
 use crate::UpstreamStatus;
+use crate::availability::{DerivedAvailability, Observation, derive_availability};
 use crate::load::EntryLoads;
 use crate::platform::{Platform, VmList};
 use crate::poll::LoadPoll;
-use crate::standing::{Observation, Standing, standings};
 
 /// A load report of an upstream.
 #[derive(Clone, Copy, Debug)]
@@ -20,7 +20,7 @@
     at: Instant,
 }
 
-/// All observations and the standings derived from them.
+/// All observations and the availability derived from them.
 #[derive(Debug, Default)]
 pub(crate) struct FleetState {
     service: Arc<Service>,
@@ -29,7 +29,7 @@
     observations: BTreeMap<UpstreamName, Observation>,
     reported: BTreeMap<UpstreamName, Reported>,
     entries: EntryLoads,
-    standings: BTreeMap<UpstreamName, Standing>,
+    availability: BTreeMap<UpstreamName, DerivedAvailability>,
 }
 
 impl FleetState {
@@ -98,8 +98,8 @@
         self.entries.take(report, now);
     }
 
-    /// Updates the standing of every upstream and logs the changes.
-    pub(crate) fn update_standings(&mut self, now: Instant) {
+    /// Updates the availability of every upstream and logs the changes.
+    pub(crate) fn update_availability(&mut self, now: Instant) {
         self.entries.expire(now);
         for (name, spec) in upstreams(&self.service) {
             if let Some(observation) = self.observations.get_mut(name) {
@@ -107,21 +107,21 @@
             }
         }
         let pools = self.service.pools.values();
-        let current: BTreeMap<UpstreamName, Standing> =
-            pools.flat_map(|pool| standings(pool, &self.observations)).collect();
-        for (name, standing) in &current {
-            let before = self.standings.get(name).map(|it| it.standing).unwrap_or_default();
-            if before != standing.standing {
+        let current: BTreeMap<UpstreamName, DerivedAvailability> =
+            pools.flat_map(|pool| derive_availability(pool, &self.observations)).collect();
+        for (name, derived) in &current {
+            let before = self.availability.get(name).map(|it| it.availability).unwrap_or_default();
+            if before != derived.availability {
                 log::info!(upstream = name.to_string();
-                    "standing changed to {:?}: {}", standing.standing, standing.why);
+                    "standing changed to {:?}: {}", derived.availability, derived.why);
             }
         }
-        self.standings = current;
+        self.availability = current;
     }
 
     /// Returns the upstreams that any source reported as leaving.
     pub(crate) fn leaving(&self) -> BTreeSet<UpstreamName> {
-        let announced = self.standings.iter().filter(|(_, it)| it.announced);
+        let announced = self.availability.iter().filter(|(_, it)| it.announced);
         announced.map(|(name, _)| name.clone()).collect()
     }
 
@@ -131,7 +131,7 @@
 
     /// Returns the load of every upstream.
     pub(crate) fn loads(&self, now: Instant) -> Vec<UpstreamLoad> {
-        let load = |(name, standing): (&UpstreamName, &Standing)| {
+        let load = |(name, derived): (&UpstreamName, &DerivedAvailability)| {
             let reported = self.reported.get(name);
             let age = reported.map(|it| now.saturating_duration_since(it.at));
             UpstreamLoad {
@@ -139,22 +139,22 @@
                 in_flight: self.entries.in_flight(name),
                 reported: reported.map(|it| it.calls),
                 report_age: age.map(Millis::from).unwrap_or_default(),
-                standing: standing.standing,
+                standing: derived.availability,
             }
         };
-        self.standings.iter().map(load).collect()
+        self.availability.iter().map(load).collect()
     }
 
     /// Returns the status of every upstream, without its orders.
     pub(crate) fn statuses(&self, now: Instant) -> BTreeMap<UpstreamName, UpstreamStatus> {
         let status = |load: UpstreamLoad| {
             let status = UpstreamStatus {
-                standing: load.standing,
+                availability: load.standing,
                 in_flight: load.in_flight,
                 reported: load.reported,
                 report_age: load.reported.map(|_| load.report_age),
                 why: self
-                    .standings
+                    .availability
                     .get(&load.upstream)
                     .map(|it| it.why.clone())
                     .unwrap_or_default(),
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UpstreamStatus {
     /// Whether it gets new work.
-    pub standing: UpstreamStanding,
+    pub availability: UpstreamStanding,
     /// The number of calls in flight from all entries.
     pub in_flight: u32,
     /// The number of calls running and waiting, as it last reported.
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -21,7 +21,7 @@
     UpstreamName,
 };
 
-const WAIT_LIMIT: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until `condition` holds.
 pub(crate) async fn until(what: &str, condition: impl Fn() -> bool) {
@@ -30,7 +30,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let held = tokio::time::timeout(WAIT_LIMIT, waited).await;
+    let held = tokio::time::timeout(WAIT_TIMEOUT, waited).await;
     held.unwrap_or_else(|_| panic!("never happened: {what}"));
 }
 
--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -7,12 +7,12 @@
 
 use common::{name, service, upstream};
 use fleet::Target;
+use fleet::availability::{Answer, Observation, derive_availability};
 use fleet::bucket::WeightBucket;
 use fleet::digest::DigestMaker;
 use fleet::load::EntryLoads;
 use fleet::plan::{Decision, Engine, LoadState, Plan, ReadBack};
 use fleet::platform::{ListFault, ListedVm, Platform, VmList, VmState};
-use fleet::standing::{Answer, Observation, standings};
 use types::UpstreamStanding::{Leaving, Live};
 use types::{
     ByteSize, Fence, Fencing, Incarnation, Millis, Rate, Service, UpstreamLoad, UpstreamStanding,
@@ -74,15 +74,15 @@
     struct Case {
         name: &'static str,
         seen: fn(&mut Observation),
-        standing: UpstreamStanding,
+        availability: UpstreamStanding,
     }
     let refuse = |it: &mut Observation| (0..3).for_each(|_| it.record_poll(Answer::Refused));
     let cases = [
-        Case { name: "nothing seen", seen: |_| {}, standing: Live },
-        Case { name: "platform", seen: |it| it.platform = Some(true), standing: Leaving },
-        Case { name: "absent", seen: |it| it.platform = None, standing: Live },
-        Case { name: "mark", seen: |it| it.set_mark(true), standing: Leaving },
-        Case { name: "drain", seen: |it| it.record_poll(Answer::Draining), standing: Leaving },
+        Case { name: "nothing seen", seen: |_| {}, availability: Live },
+        Case { name: "platform", seen: |it| it.platform = Some(true), availability: Leaving },
+        Case { name: "absent", seen: |it| it.platform = None, availability: Live },
+        Case { name: "mark", seen: |it| it.set_mark(true), availability: Leaving },
+        Case { name: "drain", seen: |it| it.record_poll(Answer::Draining), availability: Leaving },
         Case {
             name: "drain, then silence",
             seen: |it| {
@@ -90,15 +90,15 @@
                 it.record_poll(Answer::NoAnswer);
                 it.record_poll(Answer::Refused);
             },
-            standing: Leaving,
+            availability: Leaving,
         },
         Case {
-            name: "drain, then its own word",
+            name: "drain, then its own report",
             seen: |it| {
                 it.record_poll(Answer::Draining);
                 it.record_poll(Answer::Serving);
             },
-            standing: Live,
+            availability: Live,
         },
         Case {
             name: "drain, then a mark taken back",
@@ -107,29 +107,33 @@
                 it.set_mark(true);
                 it.set_mark(false);
             },
-            standing: Live,
+            availability: Live,
         },
-        Case { name: "refused once", seen: |it| it.record_poll(Answer::Refused), standing: Live },
-        Case { name: "refused", seen: refuse, standing: Leaving },
-        Case { name: "handed over", seen: |it| it.inherited = true, standing: Leaving },
         Case {
-            name: "handed over, then its own word",
+            name: "refused once",
+            seen: |it| it.record_poll(Answer::Refused),
+            availability: Live,
+        },
+        Case { name: "refused", seen: refuse, availability: Leaving },
+        Case { name: "inherited", seen: |it| it.inherited = true, availability: Leaving },
+        Case {
+            name: "inherited, then its own report",
             seen: |it| {
                 it.inherited = true;
                 it.record_poll(Answer::Serving);
                 it.drop_superseded(true);
             },
-            standing: Live,
+            availability: Live,
         },
         Case {
-            name: "handed over, then its word, but not the platform's",
+            name: "inherited, then its own report, but not the platform's",
             seen: |it| {
                 it.inherited = true;
                 it.platform = Some(true);
                 it.record_poll(Answer::Serving);
                 it.drop_superseded(true);
             },
-            standing: Leaving,
+            availability: Leaving,
         },
     ];
     let address = "127.0.0.1:9".parse().unwrap();
@@ -140,17 +144,17 @@
         let mut observation = Observation::default();
         (case.seen)(&mut observation);
         let mut observations = BTreeMap::from([(name("one"), observation)]);
-        let judged = standings(pool, &observations);
-        assert_eq!(judged[&name("one")].standing, case.standing, "{}", case.name);
-        assert_eq!(judged[&name("two")].standing, Live, "{}", case.name);
+        let derived = derive_availability(pool, &observations);
+        assert_eq!(derived[&name("one")].availability, case.availability, "{}", case.name);
+        assert_eq!(derived[&name("two")].availability, Live, "{}", case.name);
         // Refused connections alone never remove the last upstream of a pool.
         let mut other = Observation::default();
         refuse(&mut other);
         observations.insert(name("two"), other);
         let all_refuse = observations[&name("one")].refused >= 3;
-        let expected = if all_refuse || case.standing == Leaving { Live } else { Leaving };
+        let expected = if all_refuse || case.availability == Leaving { Live } else { Leaving };
         assert_eq!(
-            standings(pool, &observations)[&name("two")].standing,
+            derive_availability(pool, &observations)[&name("two")].availability,
             expected,
             "{}",
             case.name
@@ -232,7 +236,7 @@
     let delta = maker.make(&loads, 2, start).unwrap();
     assert_eq!((delta.sequence, delta.loads), (12, vec![load(7, 4, Live)]));
 
-    // Everything changes: a changed standing comes first, then the largest changes.
+    // Everything changes: changed availability comes first, then the largest changes.
     for (index, it) in loads.iter_mut().enumerate() {
         it.in_flight += 1 + index as u32;
     }
@@ -322,13 +326,19 @@
         case("old", checks, 0, |it, t, at| show(it, t, at, "v1", Ready), "order"),
         case("none", checks, 0, |it, t, at| show(it, t, at, "", Ready), "order"),
         case(
-            "astray",
+            "loads something else",
             checks,
             0,
             |it, t, at| show(it, t, at, "v1", Loading),
             "it loads something else",
         ),
-        case("astray for long", checks, 1_000, |it, t, at| show(it, t, at, "v1", Loading), "order"),
+        case(
+            "loads something else for long",
+            checks,
+            1_000,
+            |it, t, at| show(it, t, at, "v1", Loading),
+            "order",
+        ),
         case(
             "early",
             ignores,
--- a/crates/fleet/tests/observations.rs
+++ b/crates/fleet/tests/observations.rs
@@ -1,4 +1,5 @@
-//! Standing and load over HTTP: from the platform, upstreams, operators and entries to a digest.
+//! Availability and load over HTTP: from the platform, upstreams, operators and entries to a
+//! digest.
 
 mod common;
 
@@ -14,8 +15,8 @@
 use types::{Digest, Fencing, Incarnation, Millis, UpstreamLoad, UpstreamStanding};
 use wire::session::LoadReport;
 
-fn standing(fleet: &Fleet, upstream: &str) -> Option<UpstreamStanding> {
-    fleet.view().upstreams.get(&name(upstream)).map(|it| it.standing)
+fn availability(fleet: &Fleet, upstream: &str) -> Option<UpstreamStanding> {
+    fleet.view().upstreams.get(&name(upstream)).map(|it| it.availability)
 }
 
 /// Guards against work for an upstream that is leaving, and against a pool that gets no work at
@@ -34,22 +35,22 @@
         ("two", upstream(two.address, "b", Fencing::Checks)),
     ];
     fleet.lead(Arc::new(service("v1", &engines)));
-    until("both live", || standing(&fleet, "one") == Some(Live)).await;
+    until("both live", || availability(&fleet, "one") == Some(Live)).await;
 
     platform.set_list(list(2, "leaving"));
-    until("one leaves", || standing(&fleet, "one") == Some(Leaving)).await;
+    until("one leaves", || availability(&fleet, "one") == Some(Leaving)).await;
     platform.set_list(json!({"sequence": 3, "vms": []}));
     until("the list is ignored", || fleet.view().platform.is_some()).await;
-    assert_eq!(standing(&fleet, "one"), Some(Leaving));
+    assert_eq!(availability(&fleet, "one"), Some(Leaving));
     platform.set_list(list(4, "live"));
-    until("one is back", || standing(&fleet, "one") == Some(Live)).await;
+    until("one is back", || availability(&fleet, "one") == Some(Live)).await;
 
     two.draining.store(true, Ordering::SeqCst);
-    until("two drains", || standing(&fleet, "two") == Some(Leaving)).await;
+    until("two drains", || availability(&fleet, "two") == Some(Leaving)).await;
     fleet.set_marks(BTreeSet::from([name("one")]));
-    until("one is marked", || standing(&fleet, "one") == Some(Leaving)).await;
+    until("one is marked", || availability(&fleet, "one") == Some(Leaving)).await;
     two.draining.store(false, Ordering::SeqCst);
-    until("two is back", || standing(&fleet, "two") == Some(Live)).await;
+    until("two is back", || availability(&fleet, "two") == Some(Live)).await;
 }
 
 #[tokio::test]
