--- a/crates/control/examples/commit_rate.rs
+++ b/crates/control/examples/commit_rate.rs
@@ -136,8 +136,8 @@
         let customer = "yard".parse().expect("a name");
         let key = format!("{concurrency}-{ticket}").parse().expect("a key");
         let key = ClaimKey { customer, key };
-        let proof = ClaimTicket { vm: vm.clone(), owner, attempt: ticket };
-        let request = ClaimRequest { key, fingerprint: [7; 32], ticket: proof };
+        let claim_ticket = ClaimTicket { vm: vm.clone(), owner, attempt: ticket };
+        let request = ClaimRequest { key, fingerprint: [7; 32], ticket: claim_ticket };
         sender.send(&EntryMessage::Claim { ticket, request }).await.expect("it is sent");
     }
     let rate = granted.load(Ordering::Relaxed) as f64 / start.elapsed().as_secs_f64();
--- a/crates/control/src/authority.rs
+++ b/crates/control/src/authority.rs
@@ -25,9 +25,9 @@
         request: LeaderRequest,
     ) -> StepResult<LeaderResponse> {
         match timeout(QUORUM_TIMEOUT, self.core.request(request)).await {
-            Ok(Ok(told)) => Ok(told),
-            Ok(Err(denied)) => Err(StepError::new(step, denied)),
-            Err(late) => Err(StepError::new(step, late)),
+            Ok(Ok(response)) => Ok(response),
+            Ok(Err(error)) => Err(StepError::new(step, error)),
+            Err(elapsed) => Err(StepError::new(step, elapsed)),
         }
     }
 }
@@ -39,8 +39,9 @@
             target: target.to_string(),
             at: UnixMillis::now(),
         };
-        let told = self.request("commit order", LeaderRequest::Command(Box::new(command))).await?;
-        match told {
+        let response =
+            self.request("commit order", LeaderRequest::Command(Box::new(command))).await?;
+        match response {
             LeaderResponse::Reply(_, Reply::Fence(fence)) => Ok(fence),
             _ => Err(StepError::new("commit order", "unexpected reply").at(upstream)),
         }
--- a/crates/control/src/background.rs
+++ b/crates/control/src/background.rs
@@ -21,7 +21,7 @@
 
 /// How often the list of entries is sent to the other members when only the ages changed. These
 /// lists are most of the traffic between idle members.
-const LIST_INTERVAL: Duration = Duration::from_secs(2);
+const ENTRY_LIST_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How often shares are assigned and silent entries are detected.
 const SHARE_INTERVAL: Duration = Duration::from_secs(1);
@@ -67,7 +67,8 @@
     loop {
         ticks.tick().await;
         let revision = member.sessions.revision();
-        let is_outdated = |it: (u64, Instant)| it.0 != revision || it.1.elapsed() >= LIST_INTERVAL;
+        let is_outdated =
+            |it: (u64, Instant)| it.0 != revision || it.1.elapsed() >= ENTRY_LIST_INTERVAL;
         let with_entries = last_list.is_none_or(is_outdated);
         if with_entries {
             last_list = Some((revision, Instant::now()));
@@ -97,7 +98,7 @@
 /// Keeps the membership as configured, while this member leads.
 pub(crate) async fn reconcile_members(member: Arc<Member>, lost_after: Duration) {
     let mut reconciler = MembershipReconciler::new(member, lost_after);
-    let mut ticks = interval(reconciler::INTERVAL);
+    let mut ticks = interval(reconciler::RECONCILE_INTERVAL);
     loop {
         ticks.tick().await;
         reconciler.reconcile().await;
@@ -109,7 +110,7 @@
     member: Arc<Member>,
     mut published: watch::Receiver<Arc<Published>>,
 ) {
-    let mut ticks = interval(reconciler::INTERVAL);
+    let mut ticks = interval(reconciler::RECONCILE_INTERVAL);
     let mut leader_term: Option<Term> = None;
     published.mark_changed();
     loop {
@@ -127,7 +128,7 @@
             }
         }
         let view = member.core.view();
-        let leads = (view.leads() && view.settled).then_some(view.term);
+        let leads = (view.leads() && view.term_committed).then_some(view.term);
         match (leads, member.services.get(&member.settings.site)) {
             (None, _) if leader_term.take().is_some() => member.fleet.follow(),
             (Some(term), Some(service)) if leader_term != Some(term) => {
--- a/crates/control/src/calls.rs
+++ b/crates/control/src/calls.rs
@@ -10,7 +10,7 @@
 use types::{NodeId, OperatorName, UnixMillis, UpstreamName, VmName};
 
 use crate::member::Member;
-use crate::protocol::{Span, UsageRow};
+use crate::protocol::{TimeSpan, UsageRow};
 use crate::reconciler;
 use crate::request::{LeaderRequest, RequestError};
 use crate::responses::{
@@ -129,7 +129,7 @@
 
 /// Returns records of the audit trail, as applied by this member.
 pub(crate) async fn audit(member: &Member, query: &str) -> HttpResponse {
-    let after = number(query, "after").unwrap_or(0);
+    let after = query_number(query, "after").unwrap_or(0);
     let records = member.core.inspect(move |state| state.audit(after, MAX_AUDIT_RECORDS)).await;
     match records {
         Some(records) => {
@@ -203,9 +203,9 @@
 
 /// Returns the stage usage that entries reported to all members.
 pub(crate) async fn report(member: &Member, query: &str) -> HttpResponse {
-    let from = UnixMillis(number(query, "from").unwrap_or(0));
-    let to = UnixMillis(number(query, "to").unwrap_or(u64::MAX));
-    let span = Span { from, to };
+    let from = UnixMillis(query_number(query, "from").unwrap_or(0));
+    let to = UnixMillis(query_number(query, "to").unwrap_or(u64::MAX));
+    let span = TimeSpan { from, to };
     let mut rows = UsageRows::default();
     rows.extend(member.usage_store.rows(span));
     let mut unheard: Vec<VmName> = Vec::new();
@@ -241,7 +241,7 @@
     }
 }
 
-fn number(query: &str, name: &str) -> Option<u64> {
+fn query_number(query: &str, name: &str) -> Option<u64> {
     let pairs = query.split('&').filter_map(|it| it.split_once('='));
     pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
 }
--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -87,7 +87,7 @@
 /// # Errors
 /// Returns the same errors as [`spawn`].
 pub async fn spawn_with(settings: NodeSettings, timing: Timing) -> StepResult<Control> {
-    let (part, wire) = node_parts(&settings)?;
+    let (part, this_member) = node_parts(&settings)?;
     let secret = Secret::new(settings.secret.as_bytes())?;
     let started = Instant::now();
     let opened = folder::open(&part.data, &settings.vm)?;
@@ -96,7 +96,7 @@
     log::info!(folder:% = part.data.display(), node:% = node, ms = started.elapsed().as_millis() as u64;
         "opened the data folder");
     let hello = Hello { kind: Kind::Member, vm: settings.vm.clone(), node: node.0 };
-    let listener = Listener::bind(wire.wire, &secret, hello.clone()).await?;
+    let listener = Listener::bind(this_member.wire, &secret, hello.clone()).await?;
     let bound = listener.address();
     let datagrams = Datagrams::bind(bound, &secret).await?;
 
@@ -113,7 +113,7 @@
         metrics: Arc::clone(&metrics),
         identity: Arc::clone(&identity),
     };
-    let (ended_to, stopped) = watch::channel(None);
+    let (ended_sender, stopped) = watch::channel(None);
     let core = core::spawn(config, opened, move |result| {
         let reason = match result {
             Ok(()) => "drained".to_owned(),
@@ -122,7 +122,7 @@
                 e.to_string()
             }
         };
-        ended_to.send_replace(Some(reason));
+        ended_sender.send_replace(Some(reason));
     })?;
 
     let leader_client =
@@ -155,7 +155,7 @@
     });
 
     let operators = Arc::new(Operators { member: Arc::clone(&member) });
-    let http = HttpServer::bind(wire.http, operators)?;
+    let http = HttpServer::bind(this_member.http, operators)?;
     let mut tasks = member.peers.dial(dialer(&member, secret, hello));
     let published = member.core.published();
     let shared = || Arc::clone(&member);
@@ -194,11 +194,11 @@
 fn spawn_background(
     member: &Arc<Member>,
     name: &'static str,
-    duty: impl Future<Output = ()> + Send + 'static,
+    task: impl Future<Output = ()> + Send + 'static,
 ) -> JoinHandle<()> {
     let core = member.core.clone();
     tokio::spawn(async move {
-        if AssertUnwindSafe(duty).catch_unwind().await.is_err() {
+        if AssertUnwindSafe(task).catch_unwind().await.is_err() {
             core.fail(name);
         }
     })
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -67,7 +67,7 @@
     reads: HashMap<u64, Responder>,
     next_read: u64,
     view: Arc<ArcSwap<View>>,
-    applied_to: watch::Sender<LogIndex>,
+    applied_sender: watch::Sender<LogIndex>,
     published: watch::Sender<Arc<Published>>,
 }
 
@@ -87,7 +87,7 @@
         let _ = wake.try_send(Input::Written);
     })?;
     let view = Arc::new(ArcSwap::from_pointee(View::default()));
-    let (applied_to, applied) = watch::channel(opened.applied);
+    let (applied_sender, applied) = watch::channel(opened.applied);
     let (published, receiver) = watch::channel(Arc::new(published(&opened.machine)));
     let handle = CoreHandle { inputs: sender, view: view.clone(), applied, published: receiver };
     config.identity.store(opened.identity.map(Arc::new));
@@ -104,7 +104,7 @@
         reads: HashMap::new(),
         next_read: 0,
         view,
-        applied_to,
+        applied_sender,
         published,
     };
     std::thread::Builder::new()
--- a/crates/control/src/core/ready.rs
+++ b/crates/control/src/core/ready.rs
@@ -92,7 +92,7 @@
         if self.has_unpublished_change() {
             self.publish();
         }
-        self.applied_to.send_replace(self.applied);
+        self.applied_sender.send_replace(self.applied);
         for (responder, response) in responses {
             respond(responder, Ok(response));
         }
@@ -136,14 +136,15 @@
 
     fn publish(&self) {
         self.published.send_replace(Arc::new(published(&self.machine)));
-        self.applied_to.send_replace(self.applied);
+        self.applied_sender.send_replace(self.applied);
     }
 
     /// Publishes that this member neither leads nor follows any more.
     pub(super) fn publish_ended_view(&self) {
         let last = View::clone(&self.view.load());
         let role = Role::Follower;
-        let view = View { role, leader: None, settled: false, active: BTreeSet::new(), ..last };
+        let view =
+            View { role, leader: None, term_committed: false, active: BTreeSet::new(), ..last };
         self.config.metrics.set_node_state(&view);
         self.view.store(Arc::new(view));
     }
@@ -155,7 +156,7 @@
             role: status.role,
             term: status.term,
             leader: status.leader,
-            settled: status.term_committed,
+            term_committed: status.term_committed,
             commit: status.commit,
             applied: self.applied,
             version: self.machine.state.version(),
--- a/crates/control/src/history.rs
+++ b/crates/control/src/history.rs
@@ -10,11 +10,11 @@
 
 /// The last status of each entry that had a session, and when it was recorded.
 #[derive(Default)]
-pub(crate) struct History {
+pub(crate) struct EntryHistory {
     seen: Mutex<BTreeMap<VmName, (EntryStatus, Instant)>>,
 }
 
-impl History {
+impl EntryHistory {
     /// Records the entries that have a session now.
     pub(crate) fn record(&self, entries: &[EntryStatus]) {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/control/src/member.rs
+++ b/crates/control/src/member.rs
@@ -79,7 +79,7 @@
     /// Returns whether this member leads and may act as leader.
     pub(crate) fn leads(&self) -> bool {
         let view = self.core.view();
-        view.leads() && view.settled
+        view.leads() && view.term_committed
     }
 
     /// Starts a cluster, at most once. Returns the members that could not be asked for their
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -16,7 +16,7 @@
 
 use crate::announcements::PeerAnnouncements;
 use crate::core::Outbox;
-use crate::protocol::{Announce, MemberMessage, MemberReply, Reply, Span, UsageRow};
+use crate::protocol::{Announce, MemberMessage, MemberReply, Reply, TimeSpan, UsageRow};
 use crate::request::{LeaderRequest, LeaderResult, RequestError};
 
 /// The shortest delay before the next attempt to connect. It doubles up to [`MAX_BACKOFF`].
@@ -150,7 +150,7 @@
     pub(crate) async fn report(
         &self,
         vm: &VmName,
-        span: Span,
+        span: TimeSpan,
         deadline: Instant,
     ) -> Result<Vec<UsageRow>, NoReply> {
         match self.call(vm, deadline, |ticket| MemberMessage::Report { ticket, span }).await? {
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -87,7 +87,7 @@
         /// The number of the request.
         ticket: Ticket,
         /// The time span.
-        span: Span,
+        span: TimeSpan,
     },
     /// From the leader: the loads of upstreams that changed.
     Loads(NumberedDigest),
@@ -133,7 +133,7 @@
 
 /// A span of wall clock time, including its start and excluding its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Span {
+pub(crate) struct TimeSpan {
     /// The start.
     pub from: UnixMillis,
     /// The end.
--- a/crates/control/src/reconciler.rs
+++ b/crates/control/src/reconciler.rs
@@ -14,7 +14,7 @@
 use crate::view::View;
 
 /// How often the leader looks for a change to make.
-pub(crate) const INTERVAL: Duration = Duration::from_millis(100);
+pub(crate) const RECONCILE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a learner may be silent before it is removed, so that another node can join.
 const STALLED_LEARNER_TIMEOUT: Duration = Duration::from_secs(5);
@@ -46,7 +46,7 @@
     /// Executes one membership change, if one is due and this member leads.
     pub(crate) async fn reconcile(&mut self) {
         let view = self.member.core.view();
-        if !view.leads() || !view.settled {
+        if !view.leads() || !view.term_committed {
             self.silent_since.clear();
             self.missing_since = None;
             return;
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -29,7 +29,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long running calls may take during shutdown.
-const SHUTDOWN_GRACE: Duration = Duration::from_secs(1);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The running server.
 pub(crate) struct HttpServer {
@@ -60,14 +60,14 @@
             .map_err(fault)?
             .run();
         let handle = server.handle().map_err(fault)?;
-        let (ended_to, ended) = watch::channel(false);
+        let (ended_sender, ended) = watch::channel(false);
         std::thread::Builder::new()
             .name("operators".to_owned())
             .spawn(move || {
                 if let Err(e) = server.wait() {
                     log::error!("the operators' HTTP server failed: {e}");
                 }
-                ended_to.send_replace(true);
+                ended_sender.send_replace(true);
             })
             .map_err(fault)?;
         let stop = Box::new(move |graceful| handle.stop(graceful));
@@ -79,14 +79,14 @@
         self.address
     }
 
-    /// Stops the server after the running calls, or after [`SHUTDOWN_GRACE`]. The port is free
+    /// Stops the server after the running calls, or after [`SHUTDOWN_TIMEOUT`]. The port is free
     /// afterwards.
     pub(crate) async fn stop(&self) {
         let mut ended = self.ended.clone();
         (self.stop)(true);
-        if timeout(SHUTDOWN_GRACE, ended.wait_for(|it| *it)).await.is_err() {
+        if timeout(SHUTDOWN_TIMEOUT, ended.wait_for(|it| *it)).await.is_err() {
             (self.stop)(false);
-            let _ = timeout(SHUTDOWN_GRACE, ended.wait_for(|it| *it)).await;
+            let _ = timeout(SHUTDOWN_TIMEOUT, ended.wait_for(|it| *it)).await;
         }
     }
 }
--- a/crates/control/src/session.rs
+++ b/crates/control/src/session.rs
@@ -72,14 +72,14 @@
         mut receiver: wire::Receiver<EntryMessage>,
     ) -> StepResult<()> {
         let (responses, queue) = mpsc::channel(MAX_QUEUED_RESPONSES);
-        let (entered_to, entered) = watch::channel(false);
+        let (entered_sender, entered) = watch::channel(false);
         let leave = responses.clone();
         let requests = Requests { sessions: Arc::clone(&self.sessions), responses, entered };
         let need_full = Arc::clone(&self.need_full);
         let push = Push::new(Arc::clone(&self.sessions), self.vm.clone(), sender, self.have);
         let pushing = push.run(queue, need_full);
         let entering =
-            enter(Arc::clone(&self.sessions), self.vm.clone(), self.owner, entered_to, leave);
+            enter(Arc::clone(&self.sessions), self.vm.clone(), self.owner, entered_sender, leave);
         tokio::select! {
             ended = pushing => ended,
             ended = self.read(&mut receiver, requests) => ended,
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -11,7 +11,7 @@
 use wire::session::{ControlMessage, EntryMessage, UsageReport};
 
 use crate::digest::DigestTable;
-use crate::history::History;
+use crate::history::EntryHistory;
 use crate::leader_client::LeaderClient;
 use crate::protocol::EntryStatus;
 use crate::session::Session;
@@ -25,7 +25,7 @@
     pub(crate) leader_client: LeaderClient,
     pub(crate) digest: DigestTable,
     pub(crate) shares: ShareStore,
-    pub(crate) history: History,
+    pub(crate) history: EntryHistory,
     /// Receives the entries' usage reports.
     pub(crate) usage: mpsc::Sender<(VmName, UsageReport)>,
     leave: watch::Sender<bool>,
@@ -54,7 +54,7 @@
         Self {
             leader_client,
             digest: DigestTable::new(),
-            history: History::default(),
+            history: EntryHistory::default(),
             shares: ShareStore::default(),
             usage,
             leave: watch::channel(false).0,
--- a/crates/control/src/shares.rs
+++ b/crates/control/src/shares.rs
@@ -134,9 +134,9 @@
         if changed_entries {
             due.extend(self.limits.values().flat_map(|it| it.keys().cloned()));
         }
-        let entries_over_share = self.entries_over_share();
+        let over_share = self.customers_over_share();
         let mut changed = SharesByEntry::new();
-        for customer in due.union(&entries_over_share) {
+        for customer in due.union(&over_share) {
             self.recompute(customer, due.contains(customer), &mut changed);
         }
         changed
@@ -180,7 +180,7 @@
 
     /// Returns the customers whose demand at some entry exceeds the target utilization of its
     /// share.
-    fn entries_over_share(&self) -> BTreeSet<CustomerName> {
+    fn customers_over_share(&self) -> BTreeSet<CustomerName> {
         let mut names = BTreeSet::new();
         for entry in self.entries.values() {
             let over_share = entry.demand.iter().filter(|(name, demand)| {
@@ -239,12 +239,12 @@
         let share = |(index, entry): (usize, &Entry)| {
             let limits = self.limits.get(&entry.site).and_then(|it| it.get(customer));
             let limits = limits.cloned().unwrap_or_default();
-            let mut calls =
+            let mut apportioned =
                 |it: u32| by_limit.entry(it).or_insert_with(|| apportion(it, &concurrency))[index];
             CustomerShare {
                 customer: customer.clone(),
                 rate: limits.rate.map(|it| Rate(it.0 * rates[index])),
-                concurrency: limits.concurrency.map(&mut calls),
+                concurrency: limits.concurrency.map(&mut apportioned),
                 tokens: limits.tokens.map(|it| Rate(it.0 * tokens[index])),
             }
         };
--- a/crates/control/src/usage_store.rs
+++ b/crates/control/src/usage_store.rs
@@ -11,7 +11,7 @@
 use types::{CustomerName, Micros, PoolName, StageName, Tokens, UnixMillis};
 use wire::session::StageUse;
 
-use crate::protocol::{Span, UsageRow};
+use crate::protocol::{TimeSpan, UsageRow};
 use crate::usage_files::{HourFile, UsageFiles};
 
 /// The length of one bucket, in milliseconds.
@@ -98,7 +98,7 @@
     }
 
     /// Returns the totals of the buckets that lie at least partly in the span.
-    pub(crate) fn rows(&self, span: Span) -> Vec<UsageRow> {
+    pub(crate) fn rows(&self, span: TimeSpan) -> Vec<UsageRow> {
         let inner = self.lock();
         let from = span.from.0.saturating_sub(BUCKET_MS - 1);
         let mut rows = UsageRows::default();
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -30,7 +30,7 @@
     /// The known leader.
     pub leader: Option<NodeId>,
     /// Whether the node leads and has committed an entry of its own term.
-    pub settled: bool,
+    pub term_committed: bool,
     /// The highest known committed index.
     pub commit: LogIndex,
     /// The highest applied index.
--- a/crates/control/tests/plan.rs
+++ b/crates/control/tests/plan.rs
@@ -48,163 +48,163 @@
     }
 }
 
-fn with_learner(mut facts: PlanInput, name: &str, number: u64, holds: LogIndex) -> PlanInput {
-    facts.membership.learners.insert(node(number), Address::encode(&vm(name)));
-    facts.candidates.retain(|it| it.vm != vm(name));
-    facts.candidates.push(candidate(name, number));
-    facts.progress.insert(node(number), holds);
-    facts.active.insert(node(number));
-    facts
+fn with_learner(mut input: PlanInput, name: &str, number: u64, holds: LogIndex) -> PlanInput {
+    input.membership.learners.insert(node(number), Address::encode(&vm(name)));
+    input.candidates.retain(|it| it.vm != vm(name));
+    input.candidates.push(candidate(name, number));
+    input.progress.insert(node(number), holds);
+    input.active.insert(node(number));
+    input
 }
 
-fn inactive(mut facts: PlanInput, number: u64) -> PlanInput {
-    facts.active.remove(&node(number));
-    facts.candidates.retain(|it| it.node != node(number));
-    facts
+fn inactive(mut input: PlanInput, number: u64) -> PlanInput {
+    input.active.remove(&node(number));
+    input.candidates.retain(|it| it.node != node(number));
+    input
 }
 
-fn lost(facts: PlanInput, number: u64) -> PlanInput {
-    let mut facts = inactive(facts, number);
-    facts.lost.insert(node(number));
-    facts
+fn lost(input: PlanInput, number: u64) -> PlanInput {
+    let mut input = inactive(input, number);
+    input.lost.insert(node(number));
+    input
 }
 
-fn with_candidate(mut facts: PlanInput, name: &str, number: u64) -> PlanInput {
-    facts.candidates.push(candidate(name, number));
-    facts
+fn with_candidate(mut input: PlanInput, name: &str, number: u64) -> PlanInput {
+    input.candidates.push(candidate(name, number));
+    input
 }
 
-fn removed(mut facts: PlanInput, name: &str) -> PlanInput {
-    facts.removed.insert(vm(name));
-    facts.wanted.remove(&vm(name));
-    facts
+fn removed(mut input: PlanInput, name: &str) -> PlanInput {
+    input.removed.insert(vm(name));
+    input.wanted.remove(&vm(name));
+    input
 }
 
 fn two_voters() -> PlanInput {
-    let mut facts = inactive(healthy(), 3);
-    facts.membership.voters.remove(&node(3));
-    facts
+    let mut input = inactive(healthy(), 3);
+    input.membership.voters.remove(&node(3));
+    input
 }
 
 #[test]
 fn takes_one_safe_step_at_a_time() {
     struct Case {
         name: &'static str,
-        facts: PlanInput,
+        input: PlanInput,
         step: Option<Step>,
     }
     let behind = LogIndex(COMMIT.0 - 1);
-    let lacking_voters = |mut facts: PlanInput| {
-        facts.lacks_voters = true;
-        facts
+    let lacking_voters = |mut input: PlanInput| {
+        input.lacks_voters = true;
+        input
     };
-    let stalled = |mut facts: PlanInput, number| {
-        facts.stalled.insert(node(number));
-        facts
+    let stalled = |mut input: PlanInput, number| {
+        input.stalled.insert(node(number));
+        input
     };
     let new_incarnation = || with_candidate(inactive(healthy(), 3), "c", 33);
     let cases = [
-        Case { name: "all is well", facts: healthy(), step: None },
-        Case { name: "an idle spare waits", facts: with_candidate(healthy(), "s", 9), step: None },
+        Case { name: "all is well", input: healthy(), step: None },
+        Case { name: "an idle spare waits", input: with_candidate(healthy(), "s", 9), step: None },
         Case {
             name: "a silent voter is waited for",
-            facts: with_candidate(inactive(healthy(), 3), "s", 9),
+            input: with_candidate(inactive(healthy(), 3), "s", 9),
             step: None,
         },
         Case {
             name: "a new incarnation of a silent voter first becomes a learner",
-            facts: new_incarnation(),
+            input: new_incarnation(),
             step: Some(Step::AddLearner(candidate("c", 33))),
         },
         Case {
             name: "a new incarnation of an active voter is a second process",
-            facts: with_candidate(healthy(), "c", 33),
+            input: with_candidate(healthy(), "c", 33),
             step: None,
         },
         Case {
             name: "the old incarnation stays until the new one has stored the log",
-            facts: with_learner(inactive(healthy(), 3), "c", 33, behind),
+            input: with_learner(inactive(healthy(), 3), "c", 33, behind),
             step: None,
         },
         Case {
             name: "then the old incarnation is removed",
-            facts: with_learner(inactive(healthy(), 3), "c", 33, COMMIT),
+            input: with_learner(inactive(healthy(), 3), "c", 33, COMMIT),
             step: Some(Step::RemoveVoter(node(3))),
         },
         Case {
             name: "and the new one becomes a voter",
-            facts: with_learner(two_voters(), "c", 33, COMMIT),
+            input: with_learner(two_voters(), "c", 33, COMMIT),
             step: Some(Step::Promote(node(33))),
         },
         Case {
             name: "no removal that leaves no quorum",
-            facts: with_learner(inactive(inactive(healthy(), 3), 2), "c", 33, COMMIT),
+            input: with_learner(inactive(inactive(healthy(), 3), 2), "c", 33, COMMIT),
             step: None,
         },
         Case {
             name: "a learner replaced by a third incarnation is removed",
-            facts: with_candidate(with_learner(inactive(healthy(), 3), "c", 33, behind), "c", 34),
+            input: with_candidate(with_learner(inactive(healthy(), 3), "c", 33, behind), "c", 34),
             step: Some(Step::RemoveLearner(node(33))),
         },
         Case {
             name: "a stalled learner is removed",
-            facts: stalled(with_learner(inactive(healthy(), 3), "c", 33, behind), 33),
+            input: stalled(with_learner(inactive(healthy(), 3), "c", 33, behind), 33),
             step: Some(Step::RemoveLearner(node(33))),
         },
         Case {
             name: "a spare joins for a voter that is lost for good",
-            facts: with_candidate(lost(healthy(), 3), "s", 9),
+            input: with_candidate(lost(healthy(), 3), "s", 9),
             step: Some(Step::AddLearner(candidate("s", 9))),
         },
         Case {
             name: "the lost voter is removed once the spare has stored the log",
-            facts: with_learner(lost(healthy(), 3), "s", 9, COMMIT),
+            input: with_learner(lost(healthy(), 3), "s", 9, COMMIT),
             step: Some(Step::RemoveVoter(node(3))),
         },
         Case {
             name: "a spare is removed if the lost voter came back",
-            facts: with_learner(healthy(), "s", 9, COMMIT),
+            input: with_learner(healthy(), "s", 9, COMMIT),
             step: Some(Step::RemoveLearner(node(9))),
         },
         Case {
             name: "a missing member joins before a spare",
-            facts: with_candidate(with_candidate(two_voters(), "s", 9), "c", 33),
+            input: with_candidate(with_candidate(two_voters(), "s", 9), "c", 33),
             step: Some(Step::AddLearner(candidate("c", 33))),
         },
         Case {
             name: "a spare waits for members that have yet to start",
-            facts: with_candidate(two_voters(), "s", 9),
+            input: with_candidate(two_voters(), "s", 9),
             step: None,
         },
         Case {
             name: "a spare joins when members are missing for long",
-            facts: lacking_voters(with_candidate(two_voters(), "s", 9)),
+            input: lacking_voters(with_candidate(two_voters(), "s", 9)),
             step: Some(Step::AddLearner(candidate("s", 9))),
         },
         Case {
             name: "an operator's removal",
-            facts: removed(healthy(), "b"),
+            input: removed(healthy(), "b"),
             step: Some(Step::RemoveVoter(node(2))),
         },
         Case {
             name: "a removed member does not join again",
-            facts: removed(with_candidate(two_voters(), "c", 33), "c"),
+            input: removed(with_candidate(two_voters(), "c", 33), "c"),
             step: None,
         },
         Case {
             name: "no removal by an operator that leaves no quorum",
-            facts: removed(inactive(healthy(), 3), "b"),
+            input: removed(inactive(healthy(), 3), "b"),
             step: None,
         },
     ];
-    for Case { name, facts, step } in cases {
-        assert_eq!(plan(&facts), step, "{name}");
+    for Case { name, input, step } in cases {
+        assert_eq!(plan(&input), step, "{name}");
     }
 }
 
 #[test]
 fn every_step_differs_by_one_voter() {
-    let facts = with_learner(healthy(), "c", 33, COMMIT);
+    let input = with_learner(healthy(), "c", 33, COMMIT);
     let steps = [
         Step::AddLearner(candidate("s", 9)),
         Step::RemoveLearner(node(33)),
@@ -212,8 +212,8 @@
         Step::Promote(node(33)),
     ];
     for step in steps {
-        let before: BTreeSet<NodeId> = facts.membership.voters.keys().copied().collect();
-        let after: BTreeSet<NodeId> = step.apply(&facts.membership).voters.into_keys().collect();
+        let before: BTreeSet<NodeId> = input.membership.voters.keys().copied().collect();
+        let after: BTreeSet<NodeId> = step.apply(&input.membership).voters.into_keys().collect();
         assert!(before.symmetric_difference(&after).count() <= 1, "{step:?}");
     }
 }
--- a/crates/control/tests/single.rs
+++ b/crates/control/tests/single.rs
@@ -25,7 +25,11 @@
         status: u16,
         outcome: Value,
     }
-    let change = |id: &str, base: u64, mark: &str| json!({"id": id, "base": base, "document": document(mark)});
+    let change = |id: &str, base: u64, mark: &str| {
+        json!({
+            "id": id, "base": base, "document": document(mark)
+        })
+    };
     let other = "6f1c1f6e-6f0f-4a63-8a6b-0d9d3b8a0002";
     let faulty =
         json!({"id": ID, "base": 0, "document": {"base": "{", "overlays": {"north": "{}"}}});
@@ -131,8 +135,9 @@
         body: Some(b"{}".to_vec()),
         digest: [1; 32],
     };
-    let ClaimRequest { key, ticket: proof, .. } = entry.request("k1", 1);
-    let finish = EntryMessage::Finish { ticket: 9, key, proof, answer: stored.clone() };
+    let ClaimRequest { key, ticket: claim_ticket, .. } = entry.request("k1", 1);
+    let finish =
+        EntryMessage::Finish { ticket: 9, key, proof: claim_ticket, answer: stored.clone() };
     entry.sender.send(&finish).await.expect("it is sent");
     let committed = |it| matches!(it, ControlMessage::Committed { ticket: 9 }).then_some(());
     entry.wait(committed).await;
--- a/crates/fleet/examples/polls.rs
+++ b/crates/fleet/examples/polls.rs
@@ -32,8 +32,8 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The number of bursts in which the reports of one interval arrive. If they arrived one by one,
-/// they would wake the thread hundreds of times per second, which is the cost of the socket they come
-/// from, not of the fleet.
+/// they would wake the thread hundreds of times per second, which is the cost of the socket they
+/// come from, not of the fleet.
 const BURSTS_PER_INTERVAL: usize = 10;
 
 const WARM_UP: Duration = Duration::from_secs(10);
--- a/crates/fleet/src/digest.rs
+++ b/crates/fleet/src/digest.rs
@@ -65,8 +65,8 @@
         changes.into_iter().map(|(_, load)| load.clone()).collect()
     }
 
-    /// Returns the priority of a load by the error that an entry has without it: changed availability
-    /// first, then changed counts, then counts that were confirmed again.
+    /// Returns the priority of a load by the error that an entry has without it: changed
+    /// availability first, then changed counts, then counts that were confirmed again.
     fn priority(&self, load: &UpstreamLoad, now: Instant) -> u64 {
         let Some((before, at)) = self.sent.get(&load.upstream) else {
             return u64::MAX;
--- a/crates/fleet/tests/observations.rs
+++ b/crates/fleet/tests/observations.rs
@@ -26,7 +26,11 @@
 async fn leaving_is_sticky_and_an_empty_list_is_ignored() {
     let (one, two, platform) =
         (Fake::spawn(true, 0).await, Fake::spawn(true, 0).await, { Fake::spawn(true, 0).await });
-    let list = |sequence: u64, state: &str| json!({"sequence": sequence, "vms": [{"vm": "a", "state": state}]});
+    let list = |sequence: u64, state: &str| {
+        json!({
+            "sequence": sequence, "vms": [{"vm": "a", "state": state}]
+        })
+    };
     platform.set_list(list(1, "live"));
     let config = FleetConfig { platform: Some(platform.address) };
     let (fleet, _digests) = Fleet::spawn(config, Quorum::default());
