--- a/crates/consensus/tests/rules/members.rs
+++ b/crates/consensus/tests/rules/members.rs
@@ -125,11 +125,11 @@
 #[test]
 fn removed_leader_steps_down_after_the_commit() {
     let mut cluster = Cluster::new(3);
-    let place = cluster.node(1).change(members(&[2, 3], &[])).unwrap();
+    let position = cluster.node(1).change(members(&[2, 3], &[])).unwrap();
     assert_eq!(cluster.role(1), Role::Leader);
     cluster.settle();
     assert_eq!(cluster.role(1), Role::Learner);
-    assert!(cluster.commit(1) >= place.index);
+    assert!(cluster.commit(1) >= position.index);
     let leaders = [2, 3].into_iter().filter(|&id| cluster.role(id) == Role::Leader);
     assert_eq!(leaders.count(), 1);
     cluster.tick(ELECTION_TICKS * 4);
@@ -159,9 +159,9 @@
     cluster.settle();
 
     cluster.nodes.remove(&2);
-    let place = cluster.node(1).propose(b"new".to_vec()).unwrap();
+    let position = cluster.node(1).propose(b"new".to_vec()).unwrap();
     cluster.tick(ELECTION_TICKS);
-    assert_eq!(cluster.commit(4), place.index);
+    assert_eq!(cluster.commit(4), position.index);
     let kept = Payload::Command(b"kept".to_vec());
     assert!(cluster.applied[&4].iter().any(|entry| entry.payload == kept));
 }
--- a/crates/consensus/tests/schedules/sim/checks.rs
+++ b/crates/consensus/tests/schedules/sim/checks.rs
@@ -45,10 +45,10 @@
     pub(crate) fn check_log(&mut self, disk: &Disk) {
         let (_, mut prior) = disk.base();
         for entry in &disk.entries {
-            let place = (entry.index, entry.term);
-            let seen = self.written.entry(place).or_insert((prior, entry.payload.clone()));
-            assert_eq!(seen.1, entry.payload, "two entries at {place:?}");
-            assert_eq!(seen.0, prior, "logs differ before {place:?}");
+            let position = (entry.index, entry.term);
+            let seen = self.written.entry(position).or_insert((prior, entry.payload.clone()));
+            assert_eq!(seen.1, entry.payload, "two entries at {position:?}");
+            assert_eq!(seen.0, prior, "logs differ before {position:?}");
             prior = entry.term;
         }
     }
--- a/crates/consensus/tests/schedules/sim/clients.rs
+++ b/crates/consensus/tests/schedules/sim/clients.rs
@@ -31,7 +31,7 @@
 struct Call {
     host: NodeId,
     /// The position of a write in the log; `None` for reads.
-    place: Option<Position>,
+    position: Option<Position>,
     value: u64,
     start: u64,
     outcome: Outcome,
@@ -44,10 +44,10 @@
 }
 
 impl Clients {
-    fn start(&mut self, host: NodeId, place: Option<Position>, now: u64) {
+    fn start(&mut self, host: NodeId, position: Option<Position>, now: u64) {
         let value = self.calls.len() as u64 + 1;
         self.open.push(self.calls.len());
-        self.calls.push(Call { host, place, value, start: now, outcome: Outcome::Open });
+        self.calls.push(Call { host, position, value, start: now, outcome: Outcome::Open });
     }
 
     /// Starts an operation at a host, whether or not the host leads.
@@ -61,8 +61,8 @@
             if node.read(value).is_ok() {
                 self.start(host.id, None, now);
             }
-        } else if let Ok(place) = node.propose(value.to_le_bytes().to_vec()) {
-            self.start(host.id, Some(place), now);
+        } else if let Ok(position) = node.propose(value.to_le_bytes().to_vec()) {
+            self.start(host.id, Some(position), now);
         }
     }
 
@@ -81,11 +81,12 @@
     pub(crate) fn applied(&mut self, host: NodeId, entry: &Entry, now: u64) {
         for id in self.open.clone() {
             let call = &self.calls[id];
-            let Some(place) = call.place.filter(|p| call.host == host && p.index == entry.index)
+            let Some(position) =
+                call.position.filter(|p| call.host == host && p.index == entry.index)
             else {
                 continue;
             };
-            let won = place.term == entry.term;
+            let won = position.term == entry.term;
             self.end(id, now, if won { Outcome::Done(now) } else { Outcome::NoEffect });
         }
     }
@@ -117,7 +118,8 @@
     }
 
     pub(crate) fn reads(&self) -> usize {
-        let done = |call: &&Call| call.place.is_none() && matches!(call.outcome, Outcome::Done(_));
+        let done =
+            |call: &&Call| call.position.is_none() && matches!(call.outcome, Outcome::Done(_));
         self.calls.iter().filter(done).count()
     }
 
@@ -125,7 +127,7 @@
     /// may take effect at any time until the end; one whose value no read returned is left out,
     /// since it may always come last.
     pub(crate) fn is_linearizable(&self) -> bool {
-        let read = |call: &Call| call.place.is_none();
+        let read = |call: &Call| call.position.is_none();
         let seen: BTreeSet<u64> = self.calls.iter().filter(|c| read(c)).map(|c| c.value).collect();
         let mut events = Vec::new();
         for (id, call) in self.calls.iter().enumerate() {
--- a/crates/consensus/tests/slow_disks/main.rs
+++ b/crates/consensus/tests/slow_disks/main.rs
@@ -44,9 +44,9 @@
         let ran: Vec<_> = (0..seeds.unwrap_or(SEEDS)).map(|seed| (run(seed), seed)).collect();
         let (worst, seed) = ran.iter().max_by_key(|(it, _)| it.max_age).unwrap();
         let commits = ran.iter().map(|(it, _)| it.commits).min().unwrap();
-        let longest = ran.iter().map(|(it, _)| it.max_transfer).max().unwrap();
+        let max_transfer = ran.iter().map(|(it, _)| it.max_transfer).max().unwrap();
         eprintln!(
-            "{name}: oldest {} ms (seed {seed}), handover {longest} ms, {commits} commits",
+            "{name}: oldest {} ms (seed {seed}), transfer {max_transfer} ms, {commits} commits",
             worst.max_age
         );
         assert!(worst.max_age < MAX_AGE_MS, "{name}, seed {seed}: {} ms", worst.max_age);
--- a/crates/control/src/session.rs
+++ b/crates/control/src/session.rs
@@ -184,10 +184,10 @@
     match message {
         EntryMessage::Claim { ticket, request } => Some((ticket, Command::Claim { request, at })),
         EntryMessage::Finish { ticket, key, proof, answer } => {
-            Some((ticket, Command::Finish { key, proof, answer, at }))
+            Some((ticket, Command::Finish { key, ticket: proof, answer, at }))
         }
         EntryMessage::Release { ticket, key, proof } => {
-            Some((ticket, Command::Release { key, proof }))
+            Some((ticket, Command::Release { key, ticket: proof }))
         }
         _ => None,
     }
--- a/crates/disk/examples/write_cost.rs
+++ b/crates/disk/examples/write_cost.rs
@@ -12,7 +12,7 @@
 const WRITES: u64 = 2_000;
 
 /// The size of one record in bytes: a claim in its log entry.
-const RECORD: usize = 110;
+const RECORD_BYTES: usize = 110;
 
 fn timed(work: impl FnOnce() -> Result<(), DiskError>) -> io::Result<Duration> {
     let started = Instant::now();
@@ -21,7 +21,7 @@
 }
 
 fn batch(first: u64, count: u64) -> Vec<Record> {
-    let record = |index| Record { index: LogIndex(index), data: vec![index as u8; RECORD] };
+    let record = |index| Record { index: LogIndex(index), data: vec![index as u8; RECORD_BYTES] };
     (first..first + count).map(record).collect()
 }
 
--- a/crates/follower/src/follower.rs
+++ b/crates/follower/src/follower.rs
@@ -167,11 +167,11 @@
     pub async fn finish(
         &self,
         key: ClaimKey,
-        proof: ClaimTicket,
+        claim_ticket: ClaimTicket,
         answer: StoredAnswer,
         deadline: Instant,
     ) -> Result<(), ClaimError> {
-        self.commit(Operation::Finish { key, proof, answer }, deadline).await
+        self.commit(Operation::Finish { key, claim_ticket, answer }, deadline).await
     }
 
     /// Releases a claim whose call was never sent. Returns once the release is committed.
@@ -183,10 +183,10 @@
     pub async fn release(
         &self,
         key: ClaimKey,
-        proof: ClaimTicket,
+        claim_ticket: ClaimTicket,
         deadline: Instant,
     ) -> Result<(), ClaimError> {
-        self.commit(Operation::Release { key, proof }, deadline).await
+        self.commit(Operation::Release { key, claim_ticket }, deadline).await
     }
 
     /// Reports usage, which is kept until the session sends it.
--- a/crates/follower/src/lib.rs
+++ b/crates/follower/src/lib.rs
@@ -24,4 +24,4 @@
 pub use report::{LoadReporter, merge_usage};
 pub use requests::Claimed;
 pub use shared::SessionView;
-pub use versions::{Offer, Versions};
+pub use versions::{OfferDecision, Versions};
--- a/crates/follower/src/requests.rs
+++ b/crates/follower/src/requests.rs
@@ -59,18 +59,20 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Operation {
     Claim(ClaimRequest),
-    Finish { key: ClaimKey, proof: ClaimTicket, answer: StoredAnswer },
-    Release { key: ClaimKey, proof: ClaimTicket },
+    Finish { key: ClaimKey, claim_ticket: ClaimTicket, answer: StoredAnswer },
+    Release { key: ClaimKey, claim_ticket: ClaimTicket },
 }
 
 impl Operation {
     fn message(&self, ticket: Ticket) -> EntryMessage {
         match self.clone() {
             Operation::Claim(request) => EntryMessage::Claim { ticket, request },
-            Operation::Finish { key, proof, answer } => {
-                EntryMessage::Finish { ticket, key, proof, answer }
+            Operation::Finish { key, claim_ticket, answer } => {
+                EntryMessage::Finish { ticket, key, proof: claim_ticket, answer }
+            }
+            Operation::Release { key, claim_ticket } => {
+                EntryMessage::Release { ticket, key, proof: claim_ticket }
             }
-            Operation::Release { key, proof } => EntryMessage::Release { ticket, key, proof },
         }
     }
 
--- a/crates/follower/src/session.rs
+++ b/crates/follower/src/session.rs
@@ -53,7 +53,7 @@
     confirm_requests: ConfirmRequests,
     held_snapshot: Option<Arc<ServiceSnapshot>>,
     rejected_version: Option<(Version, String)>,
-    /// The document that this session sent last, to which edits apply.
+    /// The document that this session received last, to which edits apply.
     document: Option<(Version, Document)>,
     usage: UsageReport,
     draining: bool,
--- a/crates/follower/src/session/offers.rs
+++ b/crates/follower/src/session/offers.rs
@@ -7,11 +7,11 @@
 use wire::session::{EntryMessage, Ticket};
 
 use super::{EntrySender, Task, send};
-use crate::{Offer, ServiceSnapshot};
+use crate::{OfferDecision, ServiceSnapshot};
 
 impl Task {
-    /// Applies an edit to the document that this session sent last. If the edit does not apply, the
-    /// full document is requested and the version in force stays.
+    /// Applies an edit to the document that this session received last. If the edit does not
+    /// apply, the full document is requested and the version in force stays.
     pub(super) fn apply_edit(
         &mut self,
         version: Version,
@@ -38,19 +38,19 @@
         sender: &EntrySender,
     ) {
         match self.versions.offer(version) {
-            Offer::Same => {}
-            Offer::Lower => {
+            OfferDecision::Same => {}
+            OfferDecision::Lower => {
                 let have = self.versions.have();
                 log::warn!(
                     "ignored version {version}, lower than an earlier offer; {have} stays in force"
                 );
                 self.shared.update_view(|view| view.lower_offers += 1);
             }
-            offer => match settings::resolve(document, &self.config.site) {
+            decision => match settings::resolve(document, &self.config.site) {
                 Ok(service) => {
                     let service = Service { version, ..service };
                     let snapshot = Arc::new(ServiceSnapshot { service });
-                    if offer == Offer::Install {
+                    if decision == OfferDecision::Install {
                         self.install(snapshot);
                     } else {
                         self.held_snapshot = Some(snapshot);
--- a/crates/follower/src/versions.rs
+++ b/crates/follower/src/versions.rs
@@ -4,7 +4,7 @@
 
 /// The decision about an offered version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferDecision {
     /// Install the version.
     Install,
     /// Hold the version until a quorum has confirmed that no higher version is in force.
@@ -33,18 +33,18 @@
     }
 
     /// Decides about an offer, and records it as held if that is the decision.
-    pub fn offer(&mut self, version: Version) -> Offer {
+    pub fn offer(&mut self, version: Version) -> OfferDecision {
         if version < self.have.max(self.held) {
-            return Offer::Lower;
+            return OfferDecision::Lower;
         }
         if version == self.have {
-            return Offer::Same;
+            return OfferDecision::Same;
         }
         if self.confirmed {
-            return Offer::Install;
+            return OfferDecision::Install;
         }
         self.held = version;
-        Offer::Hold
+        OfferDecision::Hold
     }
 
     /// Records a quorum's confirmation that `version` was in force. Returns whether the held
--- a/crates/follower/tests/claim.rs
+++ b/crates/follower/tests/claim.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{
-    Member, answer, far_deadline, key, near_deadline, proof, request, running, spawn, within,
+    Member, answer, claim_ticket, far_deadline, key, near_deadline, request, running, spawn, within,
 };
 use follower::{ClaimError, Claimed};
 use types::{ClaimAnswer, Version};
@@ -116,8 +116,9 @@
     let mut member = Member::bind().await;
     let (follower, _events, mut session) = running(&mut member, 1).await;
     let handle = std::sync::Arc::clone(&follower);
-    let finish =
-        tokio::spawn(async move { handle.finish(key(), proof(), answer(), near_deadline()).await });
+    let finish = tokio::spawn(async move {
+        handle.finish(key(), claim_ticket(), answer(), near_deadline()).await
+    });
     let EntryMessage::Finish { .. } = session.next().await else { panic!() };
     let ended = within("the end", finish).await.unwrap();
     assert!(matches!(ended, Err(ClaimError::Uncertain(_))), "{ended:?}");
@@ -134,7 +135,7 @@
     session.send(ControlMessage::Committed { ticket }).await;
     // The next message is another operation: the answer is not sent again.
     let release =
-        tokio::spawn(async move { follower.release(key(), proof(), far_deadline()).await });
+        tokio::spawn(async move { follower.release(key(), claim_ticket(), far_deadline()).await });
     let EntryMessage::Release { ticket, .. } = session.next().await else { panic!() };
     session.send(ControlMessage::Committed { ticket }).await;
     assert_eq!(within("the release", release).await.unwrap(), Ok(()));
@@ -173,7 +174,9 @@
         let mut member = Member::bind().await;
         let (follower, _events, mut session) = running(&mut member, 1).await;
         let release =
-            tokio::spawn(async move { follower.release(key(), proof(), far_deadline()).await });
+            tokio::spawn(
+                async move { follower.release(key(), claim_ticket(), far_deadline()).await },
+            );
         for answer in case.answers {
             let EntryMessage::Release { ticket, .. } = session.next().await else { panic!() };
             session.send(answer(ticket)).await;
--- a/crates/follower/tests/common/mod.rs
+++ b/crates/follower/tests/common/mod.rs
@@ -170,7 +170,7 @@
     "entry".parse().unwrap()
 }
 
-pub(crate) fn proof() -> ClaimTicket {
+pub(crate) fn claim_ticket() -> ClaimTicket {
     ClaimTicket { vm: vm(), owner: Incarnation(7), attempt: 1 }
 }
 
@@ -179,7 +179,7 @@
 }
 
 pub(crate) fn request() -> ClaimRequest {
-    ClaimRequest { key: key(), fingerprint: [3; 32], ticket: proof() }
+    ClaimRequest { key: key(), fingerprint: [3; 32], ticket: claim_ticket() }
 }
 
 pub(crate) fn answer() -> StoredAnswer {
--- a/crates/follower/tests/member.rs
+++ b/crates/follower/tests/member.rs
@@ -210,13 +210,14 @@
         Case { at: 300, load: &[("b", 0)], full: false, sent: &[("a", 0)] },
         Case { at: 2_000, load: &[("b", 1)], full: true, sent: &[("b", 1)] },
     ];
-    let mut delta = LoadReporter::new(vm(), Incarnation(1));
+    let mut load_reporter = LoadReporter::new(vm(), Incarnation(1));
     let start = Instant::now();
     let named = |loads: &[(&str, u32)]| -> Vec<(UpstreamName, u32)> {
         loads.iter().map(|(name, calls)| (name.parse().unwrap(), *calls)).collect()
     };
     for case in cases {
-        let report = delta.report(&named(case.load), start + Duration::from_millis(case.at));
+        let report =
+            load_reporter.report(&named(case.load), start + Duration::from_millis(case.at));
         assert_eq!((report.full, report.in_flight), (case.full, named(case.sent)), "{}", case.at);
     }
 }
--- a/crates/follower/tests/version.rs
+++ b/crates/follower/tests/version.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::{Member, document, running, spawn, within};
-use follower::{Event, Offer, Versions};
+use follower::{Event, OfferDecision, Versions};
 use types::{Digest, Document, Version};
 use wire::edit::DocumentEdit;
 use wire::session::{ControlMessage, EntryMessage};
@@ -175,14 +175,26 @@
     struct Case {
         name: &'static str,
         have: u64,
-        offers: &'static [(u64, Offer)],
+        offers: &'static [(u64, OfferDecision)],
     }
     let cases = [
-        Case { name: "first", have: 0, offers: &[(3, Offer::Hold), (2, Offer::Lower)] },
-        Case { name: "first again", have: 0, offers: &[(3, Offer::Hold), (3, Offer::Hold)] },
-        Case { name: "same", have: 3, offers: &[(3, Offer::Same)] },
-        Case { name: "higher", have: 3, offers: &[(4, Offer::Install)] },
-        Case { name: "lower", have: 3, offers: &[(2, Offer::Lower), (0, Offer::Lower)] },
+        Case {
+            name: "first",
+            have: 0,
+            offers: &[(3, OfferDecision::Hold), (2, OfferDecision::Lower)],
+        },
+        Case {
+            name: "first again",
+            have: 0,
+            offers: &[(3, OfferDecision::Hold), (3, OfferDecision::Hold)],
+        },
+        Case { name: "same", have: 3, offers: &[(3, OfferDecision::Same)] },
+        Case { name: "higher", have: 3, offers: &[(4, OfferDecision::Install)] },
+        Case {
+            name: "lower",
+            have: 3,
+            offers: &[(2, OfferDecision::Lower), (0, OfferDecision::Lower)],
+        },
     ];
     for case in cases {
         let mut versions = Versions::default();
--- a/crates/state/examples/claim_cost.rs
+++ b/crates/state/examples/claim_cost.rs
@@ -53,11 +53,11 @@
 
 fn finish(number: u64, body: Option<Vec<u8>>) -> Command {
     let answer = StoredAnswer { outcome: Outcome::Complete, status: 200, body, digest: [9; 32] };
-    Command::Finish { key: key(number), proof: ticket(number), answer, at: UnixMillis(1 << 40) }
+    Command::Finish { key: key(number), ticket: ticket(number), answer, at: UnixMillis(1 << 40) }
 }
 
 fn release(number: u64) -> Command {
-    Command::Release { key: key(number), proof: ticket(number) }
+    Command::Release { key: key(number), ticket: ticket(number) }
 }
 
 fn change(number: u64) -> Command {
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -52,7 +52,7 @@
         /// The key of the claim.
         key: ClaimKey,
         /// The ticket of the claim.
-        proof: ClaimTicket,
+        ticket: ClaimTicket,
         /// The answer.
         answer: StoredAnswer,
         /// The time of the request.
@@ -64,7 +64,7 @@
         /// The key of the claim.
         key: ClaimKey,
         /// The ticket of the claim.
-        proof: ClaimTicket,
+        ticket: ClaimTicket,
     },
     /// Sets the limits, and drops answers and dated keys that are older than the limits allow. The
     /// leader proposes it every few seconds; one command processes a bounded number of keys.
--- a/crates/state/src/diff.rs
+++ b/crates/state/src/diff.rs
@@ -5,10 +5,10 @@
 use types::Document;
 
 /// The maximum length of the lines in a summary, in bytes, without the note on omitted lines.
-const SUMMARY_MAX_BYTES: usize = 600;
+const MAX_SUMMARY_BYTES: usize = 600;
 
 /// The maximum length of a line in a summary, in characters.
-const LINE_MAX_CHARS: usize = 80;
+const MAX_LINE_CHARS: usize = 80;
 
 /// Lists the lines that were removed and added, file by file: `base -3 "a": 1; base +3 "a": 2`.
 pub(crate) fn summary(old: &Document, new: &Document) -> String {
@@ -50,7 +50,7 @@
             _ => parts.push(format!(
                 "{file} {sign}{} {}",
                 number + 1,
-                truncate(line, LINE_MAX_CHARS)
+                truncate(line, MAX_LINE_CHARS)
             )),
         }
     }
@@ -60,7 +60,7 @@
 fn shorten(parts: &[String]) -> String {
     let mut text = String::new();
     for (shown, part) in parts.iter().enumerate() {
-        if text.len() + part.len() > SUMMARY_MAX_BYTES {
+        if text.len() + part.len() > MAX_SUMMARY_BYTES {
             text.push_str(&format!("; and {} more lines", parts.len() - shown));
             return text;
         }
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -92,12 +92,12 @@
             Command::Claim { request, at } => {
                 Reply::Claim(self.claims.claim(&request, at, (&self.incarnations, &self.limits)))
             }
-            Command::Finish { key, proof, answer, at } => {
-                self.claims.finish(&key, &proof, answer, at, (&self.incarnations, &self.limits));
+            Command::Finish { key, ticket, answer, at } => {
+                self.claims.finish(&key, &ticket, answer, at, (&self.incarnations, &self.limits));
                 Reply::Done
             }
-            Command::Release { key, proof } => {
-                match self.claims.release(&key, &proof, &self.incarnations) {
+            Command::Release { key, ticket } => {
+                match self.claims.release(&key, &ticket, &self.incarnations) {
                     ReleaseResult::Released => Reply::Done,
                     ReleaseResult::Kept(answer) => Reply::Claim(answer),
                 }
@@ -121,7 +121,7 @@
     /// Decodes the output of [`State::snapshot`].
     ///
     /// # Errors
-    /// If the data is damaged or has another format.
+    /// Returns an error if the data is damaged or has another format.
     pub fn restore(data: &[u8]) -> StepResult<State> {
         let fault = |why: String| StepError::new("restore state", why);
         match data.split_first() {
--- a/crates/state/tests/commands/replicas.rs
+++ b/crates/state/tests/commands/replicas.rs
@@ -59,8 +59,8 @@
                 let holder = holder.or_insert(request.ticket.clone());
                 assert_eq!(*holder, request.ticket, "the claim was granted to a second ticket");
             }
-            (Command::Release { key, proof }, Reply::Done)
-                if self.holders.get(key) == Some(proof) =>
+            (Command::Release { key, ticket }, Reply::Done)
+                if self.holders.get(key) == Some(ticket) =>
             {
                 self.holders.remove(key);
             }
--- a/crates/state/tests/commands/support.rs
+++ b/crates/state/tests/commands/support.rs
@@ -44,16 +44,16 @@
     StoredAnswer { outcome: Outcome::Complete, status: 200, body, digest: [7; 32] }
 }
 
-pub(crate) fn finish(text: &str, proof: ClaimTicket, body: &str) -> Command {
-    finish_at(text, proof, body, 2_000)
+pub(crate) fn finish(text: &str, ticket: ClaimTicket, body: &str) -> Command {
+    finish_at(text, ticket, body, 2_000)
 }
 
-pub(crate) fn finish_at(text: &str, proof: ClaimTicket, body: &str, at: u64) -> Command {
-    Command::Finish { key: key(text), proof, answer: answer(body), at: UnixMillis(at) }
+pub(crate) fn finish_at(text: &str, ticket: ClaimTicket, body: &str, at: u64) -> Command {
+    Command::Finish { key: key(text), ticket, answer: answer(body), at: UnixMillis(at) }
 }
 
-pub(crate) fn release(text: &str, proof: ClaimTicket) -> Command {
-    Command::Release { key: key(text), proof }
+pub(crate) fn release(text: &str, ticket: ClaimTicket) -> Command {
+    Command::Release { key: key(text), ticket }
 }
 
 /// Returns limits that keep answers for 1 s and up to 8 bytes, two of them in all; dated keys for 3
