--- a/crates/control/src/responses.rs
+++ b/crates/control/src/responses.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 use settings::Fault;
 use types::{
-    ChangeId, Document, OperatorName, Term, UnixMillis, UpstreamName, UpstreamStanding, Version,
-    VmName,
+    ChangeId, Document, OperatorName, Term, UnixMillis, UpstreamAvailability, UpstreamName,
+    Version, VmName,
 };
 
 /// An HTTP response: status, content type and body.
@@ -185,7 +185,8 @@
 #[derive(Serialize)]
 pub(crate) struct UpstreamRow {
     pub(crate) upstream: UpstreamName,
-    pub(crate) standing: UpstreamStanding,
+    #[serde(rename = "standing")]
+    pub(crate) availability: UpstreamAvailability,
     pub(crate) in_flight: u32,
     pub(crate) reported: Option<u32>,
     pub(crate) why: Option<String>,
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -126,7 +126,7 @@
     if !view.leading {
         let row = |it: types::UpstreamLoad| UpstreamRow {
             upstream: it.upstream,
-            standing: it.standing,
+            availability: it.availability,
             in_flight: it.in_flight,
             reported: it.reported,
             why: None,
@@ -135,7 +135,7 @@
     }
     let row = |(name, it): (&types::UpstreamName, &fleet::UpstreamStatus)| UpstreamRow {
         upstream: name.clone(),
-        standing: it.availability,
+        availability: it.availability,
         in_flight: it.in_flight,
         reported: it.reported,
         why: join_reasons(&it.why, &it.order),
--- a/crates/fleet/src/availability.rs
+++ b/crates/fleet/src/availability.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use types::{Pool, UpstreamName, UpstreamStanding};
+use types::{Pool, UpstreamAvailability, UpstreamName};
 
 /// The number of consecutive refused connections after which an upstream counts as gone.
 const REFUSAL_THRESHOLD: u32 = 3;
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DerivedAvailability {
     /// Whether it gets new work.
-    pub availability: UpstreamStanding,
+    pub availability: UpstreamAvailability,
     /// The reason; empty if nothing is wrong.
     pub why: String,
     /// Whether any source reported it as leaving, rather than it merely refusing connections.
@@ -139,16 +139,20 @@
     let derive = |observation: &Observation, spec: bool| match observation.leaving(spec) {
         Some(why) => {
             let why = why.to_owned();
-            DerivedAvailability { availability: UpstreamStanding::Leaving, why, announced: true }
+            DerivedAvailability {
+                availability: UpstreamAvailability::Leaving,
+                why,
+                announced: true,
+            }
         }
         None if !observation.is_refusing() => DerivedAvailability::default(),
         None if others => DerivedAvailability {
-            availability: UpstreamStanding::Leaving,
+            availability: UpstreamAvailability::Leaving,
             why: format!("it refused {} connections in a row", observation.refused),
             announced: false,
         },
         None => DerivedAvailability {
-            availability: UpstreamStanding::Live,
+            availability: UpstreamAvailability::Live,
             why: "it refuses connections, but its pool has no other".to_owned(),
             announced: false,
         },
--- a/crates/fleet/src/digest.rs
+++ b/crates/fleet/src/digest.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use types::{Digest, UpstreamLoad, UpstreamName, UpstreamStanding};
+use types::{Digest, UpstreamAvailability, UpstreamLoad, UpstreamName};
 
 /// How often a digest contains every upstream.
 const FULL_DIGEST_INTERVAL: Duration = Duration::from_secs(10);
@@ -71,11 +71,12 @@
         let Some((before, at)) = self.sent.get(&load.upstream) else {
             return u64::MAX;
         };
-        if before.standing != load.standing {
+        if before.availability != load.availability {
             return u64::MAX;
         }
         let elapsed = now.saturating_duration_since(*at);
-        if load.standing == UpstreamStanding::Leaving && elapsed >= LEAVING_REPEAT_INTERVAL {
+        if load.availability == UpstreamAvailability::Leaving && elapsed >= LEAVING_REPEAT_INTERVAL
+        {
             return u64::MAX - 1;
         }
         let counts =
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use types::{Digest, Millis, Service, Upstream, UpstreamLoad, UpstreamName, UpstreamStanding};
+use types::{Digest, Millis, Service, Upstream, UpstreamAvailability, UpstreamLoad, UpstreamName};
 use wire::session::LoadReport;
 
 use crate::UpstreamStatus;
@@ -60,7 +60,7 @@
     pub(crate) fn inherit(&mut self, digest: &Digest) {
         for load in &digest.loads {
             let observation = self.observations.entry(load.upstream.clone()).or_default();
-            observation.inherited = load.standing == UpstreamStanding::Leaving;
+            observation.inherited = load.availability == UpstreamAvailability::Leaving;
         }
     }
 
@@ -139,7 +139,7 @@
                 in_flight: self.entries.in_flight(name),
                 reported: reported.map(|it| it.calls),
                 report_age: age.map(Millis::from).unwrap_or_default(),
-                standing: derived.availability,
+                availability: derived.availability,
             }
         };
         self.availability.iter().map(load).collect()
@@ -149,7 +149,7 @@
     pub(crate) fn statuses(&self, now: Instant) -> BTreeMap<UpstreamName, UpstreamStatus> {
         let status = |load: UpstreamLoad| {
             let status = UpstreamStatus {
-                availability: load.standing,
+                availability: load.availability,
                 in_flight: load.in_flight,
                 reported: load.reported,
                 report_age: load.reported.map(|_| load.report_age),
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use types::{Millis, UpstreamName, UpstreamStanding};
+use types::{Millis, UpstreamAvailability, UpstreamName};
 
 /// The state of all upstreams.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UpstreamStatus {
     /// Whether it gets new work.
-    pub availability: UpstreamStanding,
+    pub availability: UpstreamAvailability,
     /// The number of calls in flight from all entries.
     pub in_flight: u32,
     /// The number of calls running and waiting, as it last reported.
--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -13,9 +13,10 @@
 use fleet::load::EntryLoads;
 use fleet::plan::{Decision, Engine, LoadState, Plan, ReadBack};
 use fleet::platform::{ListFault, ListedVm, Platform, VmList, VmState};
-use types::UpstreamStanding::{Leaving, Live};
+use types::UpstreamAvailability::{Leaving, Live};
 use types::{
-    ByteSize, Fence, Fencing, Incarnation, Millis, Rate, Service, UpstreamLoad, UpstreamStanding,
+    ByteSize, Fence, Fencing, Incarnation, Millis, Rate, Service, UpstreamAvailability,
+    UpstreamLoad,
 };
 use wire::session::LoadReport;
 
@@ -74,7 +75,7 @@
     struct Case {
         name: &'static str,
         seen: fn(&mut Observation),
-        availability: UpstreamStanding,
+        availability: UpstreamAvailability,
     }
     let refuse = |it: &mut Observation| (0..3).for_each(|_| it.record_poll(Answer::Refused));
     let cases = [
@@ -213,13 +214,13 @@
     }
 }
 
-fn load(index: usize, in_flight: u32, standing: UpstreamStanding) -> UpstreamLoad {
+fn load(index: usize, in_flight: u32, availability: UpstreamAvailability) -> UpstreamLoad {
     UpstreamLoad {
         upstream: name(&format!("u{index}")),
         in_flight,
         reported: None,
         report_age: Millis(0),
-        standing,
+        availability,
     }
 }
 
@@ -240,7 +241,7 @@
     for (index, it) in loads.iter_mut().enumerate() {
         it.in_flight += 1 + index as u32;
     }
-    loads[0].standing = Leaving;
+    loads[0].availability = Leaving;
     let bound = maker.make(&loads, 2, start).unwrap().loads;
     assert_eq!(bound.len(), 192);
     assert_eq!((bound[0].upstream.clone(), bound[1].upstream.clone()), (name("u0"), name("u299")));
@@ -254,14 +255,14 @@
     let at = |seconds| start + Duration::from_secs(seconds);
     let mut maker = DigestMaker::new(0);
     let mut loads: Vec<UpstreamLoad> = (0..600).map(|it| load(it, 0, Live)).collect();
-    loads[3].standing = Leaving;
+    loads[3].availability = Leaving;
     loads.iter_mut().for_each(|it| it.reported = Some(0));
     maker.make(&loads, 8, start).expect("the full one");
     // Each upstream was polled again with the same result, so the reports are fresh.
     assert_eq!(maker.make(&loads, 8, at(1)), None);
     let named = maker.make(&loads, 8, at(2)).expect("the leaving one").loads;
     assert_eq!(named, [loads[3].clone()]);
-    loads[3].standing = Live;
+    loads[3].availability = Live;
     let named = maker.make(&loads, 8, at(3)).expect("it came back").loads;
     assert_eq!(named, [loads[3].clone()]);
     assert_eq!(maker.make(&loads, 8, at(9)), None);
--- a/crates/fleet/tests/observations.rs
+++ b/crates/fleet/tests/observations.rs
@@ -11,11 +11,11 @@
 use common::{Fake, Quorum, name, service, until, upstream};
 use fleet::{Fleet, FleetConfig};
 use serde_json::json;
-use types::UpstreamStanding::{Leaving, Live};
-use types::{Digest, Fencing, Incarnation, Millis, UpstreamLoad, UpstreamStanding};
+use types::UpstreamAvailability::{Leaving, Live};
+use types::{Digest, Fencing, Incarnation, Millis, UpstreamAvailability, UpstreamLoad};
 use wire::session::LoadReport;
 
-fn availability(fleet: &Fleet, upstream: &str) -> Option<UpstreamStanding> {
+fn availability(fleet: &Fleet, upstream: &str) -> Option<UpstreamAvailability> {
     fleet.view().upstreams.get(&name(upstream)).map(|it| it.availability)
 }
 
@@ -76,7 +76,7 @@
     let digest = digest.await.unwrap().unwrap();
     assert_eq!(digest.entries, 2);
     let load = &digest.loads[0];
-    assert_eq!((load.in_flight, load.reported, load.standing), (7, Some(3), Live));
+    assert_eq!((load.in_flight, load.reported, load.availability), (7, Some(3), Live));
 }
 
 /// Guards against work for an upstream that was leaving, after a change of leader. The new leader
@@ -91,12 +91,12 @@
         in_flight: 0,
         reported: None,
         report_age: Millis(0),
-        standing: Leaving,
+        availability: Leaving,
     };
     fleet.take_digest(&Digest { sequence: 1, loads: vec![load], entries: 1 });
     let spec = upstream(gone, "a", Fencing::Checks);
     fleet.lead(Arc::new(service("v1", &[("one", spec)])));
     let digest = tokio::time::timeout(std::time::Duration::from_secs(60), digests.recv());
     let digest = digest.await.unwrap().unwrap();
-    assert_eq!(digest.loads[0].standing, Leaving);
+    assert_eq!(digest.loads[0].availability, Leaving);
 }
--- a/crates/routing/src/eject.rs
+++ b/crates/routing/src/eject.rs
@@ -56,7 +56,7 @@
     marked_leaving: AtomicU32,
 }
 
-/// A change of an upstream's standing that a digest reports.
+/// A change of an upstream's availability that a digest reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DigestChange {
     /// It is leaving.
@@ -158,10 +158,10 @@
         self.leaving_since.swap(now, Ordering::Relaxed) == 0
     }
 
-    /// Applies the standing that a digest reports, and returns what changed. For a few seconds the
-    /// upstream's own report is newer than the sources of a digest. So a digest that reports it as
-    /// live only counts if it was certainly made later: after digests that reported it as leaving,
-    /// or once [`LEAVING_HOLD_US`] has passed.
+    /// Applies the availability that a digest reports, and returns what changed. For a few seconds
+    /// the upstream's own report is newer than the sources of a digest. So a digest that reports it
+    /// as live only counts if it was certainly made later: after digests that reported it as
+    /// leaving, or once [`LEAVING_HOLD_US`] has passed.
     pub(crate) fn apply_digest(
         &self,
         leaving: bool,
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwap;
 use types::{
     CustomerLimits, CustomerName, Digest, PipelineName, Policy, PoolKind, PoolName, Priority,
-    Refusal, RefusalReason, Service, SiteName, Tokens, UpstreamName, UpstreamStanding,
+    Refusal, RefusalReason, Service, SiteName, Tokens, UpstreamAvailability, UpstreamName,
 };
 
 use crate::admission::{Admission, SlotRequest, SlotResponse, fits_deadline};
@@ -115,7 +115,7 @@
                 continue;
             };
             view.state.record_load(load.in_flight, load.reported, load.report_age.0 * 1_000, now);
-            let leaving = load.standing == UpstreamStanding::Leaving;
+            let leaving = load.availability == UpstreamAvailability::Leaving;
             let kind = match view.state.health.apply_digest(leaving, digest.sequence, now) {
                 Some(DigestChange::Leaving) => DecisionKind::Leaving,
                 Some(DigestChange::Returned) => DecisionKind::Rejoined,
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use routing::{CallEnd, Pick, PickRequest, RequestInfo, Router, Rules};
 use types::{
     Customer, CustomerLimits, Digest, Millis, Pipeline, Pool, PoolKind, PoolName, Priority,
-    Refusal, Service, Stage, Tokens, Upstream, UpstreamLoad, UpstreamName, UpstreamStanding,
+    Refusal, Service, Stage, Tokens, Upstream, UpstreamAvailability, UpstreamLoad, UpstreamName,
 };
 
 /// Parses a name that is known to be valid.
@@ -181,6 +181,6 @@
         in_flight,
         reported: None,
         report_age: Millis(0),
-        standing: UpstreamStanding::Live,
+        availability: UpstreamAvailability::Live,
     }
 }
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -4,7 +4,7 @@
 
 use common::{Bench, load, ms, name};
 use routing::{CallEnd, Rules};
-use types::{RefusalReason, UpstreamLoad, UpstreamName, UpstreamStanding};
+use types::{RefusalReason, UpstreamAvailability, UpstreamLoad, UpstreamName};
 
 /// Makes calls. Those that reach the upstreams in `who` end with `end`, all others succeed.
 fn calls(bench: &mut Bench, count: usize, who: &[&str], end: CallEnd) -> usize {
@@ -102,11 +102,11 @@
 fn leaving_is_sticky_until_a_newer_report() {
     struct Case {
         name: &'static str,
-        /// The standing in each digest, and the milliseconds before it.
-        digests: &'static [(u64, UpstreamStanding)],
+        /// The availability in each digest, and the milliseconds before it.
+        digests: &'static [(u64, UpstreamAvailability)],
         back: bool,
     }
-    use UpstreamStanding::{Leaving, Live};
+    use UpstreamAvailability::{Leaving, Live};
     let cases = [
         Case { name: "no digest", digests: &[], back: false },
         Case { name: "one that was on its way", digests: &[(50, Live)], back: false },
@@ -117,9 +117,9 @@
     for case in cases {
         let mut bench = Bench::writers(2, 10);
         calls(&mut bench, 20, &["write-000"], CallEnd::Leaving);
-        for (after, standing) in case.digests {
+        for (after, availability) in case.digests {
             bench.pass(ms(*after));
-            let load = UpstreamLoad { standing: *standing, ..load("write-000", 0) };
+            let load = UpstreamLoad { availability: *availability, ..load("write-000", 0) };
             bench.digest(1, &[load]);
         }
         let hits = calls(&mut bench, 50, &["write-000"], CallEnd::Abandoned);
@@ -134,8 +134,8 @@
 fn leaving_upstream_gets_nothing_even_as_the_last_one() {
     let mut bench = Bench::writers(2, 10);
     let leaving = |who: &str| {
-        let standing = UpstreamStanding::Leaving;
-        UpstreamLoad { standing, ..load(who, 0) }
+        let availability = UpstreamAvailability::Leaving;
+        UpstreamLoad { availability, ..load(who, 0) }
     };
     bench.digest(1, &[leaving("write-000")]);
     assert_eq!(bench.counted("eject", "leaving"), 1, "an operator sees that it gets no calls");
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -16,7 +16,7 @@
     NameError, NodeId, OperatorName, PipelineName, PoolName, RequestId, SiteName, StageName, Term,
     UpstreamName, Version, VmName,
 };
-pub use load::{Digest, UpstreamLoad, UpstreamStanding};
+pub use load::{Digest, UpstreamAvailability, UpstreamLoad};
 pub use outcome::{Outcome, Refusal, RefusalReason};
 pub use quantity::{ByteSize, Cost, Micros, Millis, Priority, Rate, Tokens, UnixMillis};
 pub use service::{
--- a/crates/types/src/load.rs
+++ b/crates/types/src/load.rs
@@ -7,7 +7,7 @@
 /// Whether an upstream may get new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum UpstreamStanding {
+pub enum UpstreamAvailability {
     /// The upstream takes new work.
     #[default]
     Live,
@@ -27,7 +27,7 @@
     /// The age of `reported` when the digest was built.
     pub report_age: Millis,
     /// Whether the upstream may get new work.
-    pub standing: UpstreamStanding,
+    pub availability: UpstreamAvailability,
 }
 
 /// The loads of several upstreams; a delta holds only those that changed.
--- a/crates/wire/src/loads.rs
+++ b/crates/wire/src/loads.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
-use types::{Digest, Millis, UpstreamLoad, UpstreamName, UpstreamStanding};
+use types::{Digest, Millis, UpstreamAvailability, UpstreamLoad, UpstreamName};
 
 /// The load of an upstream with its number; about 5 bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -100,7 +100,7 @@
 
 impl NumberedLoad {
     fn new(number: u32, load: &UpstreamLoad) -> Self {
-        let is_leaving = load.standing == UpstreamStanding::Leaving;
+        let is_leaving = load.availability == UpstreamAvailability::Leaving;
         Self {
             key: number * 2 + u32::from(is_leaving),
             in_flight: load.in_flight,
@@ -110,16 +110,16 @@
     }
 
     fn resolve(&self, names: &[UpstreamName]) -> Option<UpstreamLoad> {
-        let standing = match self.key % 2 {
-            0 => UpstreamStanding::Live,
-            _ => UpstreamStanding::Leaving,
+        let availability = match self.key % 2 {
+            0 => UpstreamAvailability::Live,
+            _ => UpstreamAvailability::Leaving,
         };
         Some(UpstreamLoad {
             upstream: names.get(self.key as usize / 2)?.clone(),
             in_flight: self.in_flight,
             reported: self.reported.checked_sub(1),
             report_age: self.report_age,
-            standing,
+            availability,
         })
     }
 }
--- a/crates/wire/tests/loads.rs
+++ b/crates/wire/tests/loads.rs
@@ -1,6 +1,6 @@
 //! Digests with numbers decode to the digests with names that were encoded.
 
-use types::{Digest, Millis, UpstreamLoad, UpstreamStanding};
+use types::{Digest, Millis, UpstreamAvailability, UpstreamLoad};
 use wire::loads::{LoadNames, LoadNumbers};
 
 fn load(number: u32, in_flight: u32, is_leaving: bool) -> UpstreamLoad {
@@ -9,7 +9,11 @@
         in_flight,
         reported: in_flight.checked_sub(1),
         report_age: Millis(120),
-        standing: if is_leaving { UpstreamStanding::Leaving } else { UpstreamStanding::Live },
+        availability: if is_leaving {
+            UpstreamAvailability::Leaving
+        } else {
+            UpstreamAvailability::Live
+        },
     }
 }
 
