--- a/crates/fleet/src/availability.rs
+++ b/crates/fleet/src/availability.rs
@@ -136,7 +136,7 @@
         let observation = seen(name);
         observation.leaving(spec.leaving).is_none() && !observation.is_refusing()
     });
-    let derive = |observation: &Observation, spec: bool| match observation.leaving(spec) {
+    let availability_of = |observation: &Observation, spec: bool| match observation.leaving(spec) {
         Some(why) => {
             let why = why.to_owned();
             DerivedAvailability {
@@ -158,5 +158,5 @@
         },
     };
     let all = pool.upstreams.iter();
-    all.map(|(name, spec)| (name.clone(), derive(seen(name), spec.leaving))).collect()
+    all.map(|(name, spec)| (name.clone(), availability_of(seen(name), spec.leaving))).collect()
 }
