--- a/crates/settings/src/node_rules.rs
+++ b/crates/settings/src/node_rules.rs
@@ -52,7 +52,7 @@
     fn check_operators(&mut self) {
         let Some(control) = self.source.root.get_object("control") else { return };
         if control.get_array("operators").is_some_and(|it| it.elements.is_empty()) {
-            let message = "control.operators: nobody may drive the service".to_owned();
+            let message = "control.operators: there is no operator".to_owned();
             self.report(control.range.start, message, "add an operator");
         }
         for key in ["name", "token"] {
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -12,7 +12,7 @@
 /// The maximum size in bytes: 1 TiB.
 const MAX_SIZE_BYTES: u64 = 1 << 40;
 /// The maximum of rates per second and of costs.
-const MAX_NUMBER: f64 = 1e12;
+const MAX_RATE_OR_COST: f64 = 1e12;
 
 /// The keys of the base file.
 pub(crate) static SERVICE: &[Field] = &[
@@ -42,7 +42,8 @@
         Shape::Choice(&["encode", "retrieve", "rerank", "generate", "service"]),
     ),
     Field::required("upstreams", Shape::Map("upstream", &Shape::Record(UPSTREAM))).overridable(),
-    Field::optional("cost", number("cost units a busy second", 0.0, MAX_NUMBER)).overridable(),
+    Field::optional("cost", number("cost units a busy second", 0.0, MAX_RATE_OR_COST))
+        .overridable(),
 ];
 
 const UPSTREAM: &[Field] = &[
@@ -80,9 +81,9 @@
 ];
 
 const LIMITS: &[Field] = &[
-    Field::optional("rate", number("requests a second", 0.001, MAX_NUMBER)),
+    Field::optional("rate", number("requests a second", 0.001, MAX_RATE_OR_COST)),
     Field::optional("concurrency", count("requests at once", 1, 1_000_000)),
-    Field::optional("tokens", number("tokens a second", 0.001, MAX_NUMBER)),
+    Field::optional("tokens", number("tokens a second", 0.001, MAX_RATE_OR_COST)),
 ];
 
 const REQUESTS: &[Field] = &[
@@ -97,7 +98,7 @@
 ];
 
 const ORDERS: &[Field] = &[
-    Field::optional("weights", number("bytes a second", 1.0, MAX_NUMBER)),
+    Field::optional("weights", number("bytes a second", 1.0, MAX_RATE_OR_COST)),
     Field::optional("longest", millis(10, 3_600_000)),
 ];
 
--- a/crates/settings/tests/service.rs
+++ b/crates/settings/tests/service.rs
@@ -197,7 +197,9 @@
         },
         Edit {
             name: "no stages",
-            from: "{ \"name\": \"encode\", \"pool\": \"encoders\", \"expected\": 20 },\n        { \"name\": \"draft\", \"pool\": \"engines\", \"tokens\": 256 },\n        { \"name\": \"note\", \"pool\": \"stock\", \"path\": \"/v1/note\", \"repeatable\": false },",
+            from: "{ \"name\": \"encode\", \"pool\": \"encoders\", \"expected\": 20 },\n        \
+                { \"name\": \"draft\", \"pool\": \"engines\", \"tokens\": 256 },\n        \
+                { \"name\": \"note\", \"pool\": \"stock\", \"path\": \"/v1/note\", \"repeatable\": false },",
             to: "",
             message: "it has 0 stages",
         },
--- a/crates/upstream/src/cancel.rs
+++ b/crates/upstream/src/cancel.rs
@@ -20,8 +20,8 @@
 
 /// Cancels a call at an engine when dropped, unless disarmed.
 ///
-/// An engine notices a closed connection only at its next write, so without a cancellation the call of
-/// a lost hedge or of a caller that disconnected would keep its place in the batch.
+/// An engine notices a closed connection only at its next write, so without a cancellation the call
+/// of a lost hedge or of a caller that disconnected would keep its place in the batch.
 #[derive(Debug)]
 pub(crate) struct CancelOnDrop {
     calls: Option<Calls>,
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -12,7 +12,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The maximum number of idle connections to an upstream.
-const MAX_IDLE: usize = 256;
+const MAX_IDLE_CONNECTIONS: usize = 256;
 
 /// The idle connections to one upstream.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     fn keep(&self, mut connection: Connection) {
         connection.last_success = Instant::now();
         let mut idle = self.lock();
-        if idle.len() < MAX_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
--- a/crates/upstream/src/write_counter.rs
+++ b/crates/upstream/src/write_counter.rs
@@ -1,9 +1,9 @@
 //! Counts the bytes that a connection wrote, as evidence of whether a call was sent.
 //!
 //! The HTTP library reports that a call failed, but not whether any of its bytes left. A guess from
-//! the kind of the error may tell a caller "not run" about a call that ran. Here the write path itself
-//! gives the answer: [`WriteCounter::close`] stops all later writes and returns the number of bytes
-//! that the kernel accepted before, both under one lock.
+//! the kind of the error may tell a caller "not run" about a call that ran. Here the write path
+//! itself gives the answer: [`WriteCounter::close`] stops all later writes and returns the number
+//! of bytes that the kernel accepted before, both under one lock.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
--- a/crates/upstream/tests/engine.rs
+++ b/crates/upstream/tests/engine.rs
@@ -195,8 +195,9 @@
     }
 }
 
-/// Guards against engines that keep working on calls that nobody waits for: a stream is dropped before
-/// its end or before its first byte, and an engine notices a closed connection only at its next write.
+/// Guards against engines that keep working on calls that nobody waits for: a stream is dropped
+/// before its end or before its first byte, and an engine notices a closed connection only at its
+/// next write.
 #[tokio::test]
 async fn a_dropped_stream_is_cancelled_at_the_engine() {
     struct Cancelled {
--- a/crates/upstream/tests/stage.rs
+++ b/crates/upstream/tests/stage.rs
@@ -192,8 +192,9 @@
     assert_eq!(connections, [0, 0, 1]);
 }
 
-/// Guards against one timeout for each stage or attempt of a request: all open connections go silent at
-/// once while new ones work, and each call takes the next idle connection, which is silent, too.
+/// Guards against one timeout for each stage or attempt of a request: all open connections go
+/// silent at once while new ones work, and each call takes the next idle connection, which is
+/// silent, too.
 #[tokio::test]
 async fn one_silent_call_drops_the_idle_connections_not_used_since() {
     let release = Arc::new(Notify::new());
@@ -256,8 +257,9 @@
     assert_eq!(upstream.connections(), 3);
 }
 
-/// Guards against reporting "not run" for a call that ran: the upstream reads it on a reused connection
-/// and closes that without an answer, which looks like a close before the call was written.
+/// Guards against reporting "not run" for a call that ran: the upstream reads it on a reused
+/// connection and closes that without an answer, which looks like a close before the call was
+/// written.
 #[tokio::test]
 async fn a_kept_connection_closed_after_reading_is_not_evidence() {
     let upstream = FakeUpstream::spawn(|received| match received.number {
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -72,7 +72,8 @@
 /// Sets the socket options that every connection needs.
 pub(crate) fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    // The kernel closes the connection if sent bytes stay unacknowledged, even if this side only writes.
+    // The kernel closes the connection if sent bytes stay unacknowledged, even if this side only
+    // writes.
     SockRef::from(stream).set_tcp_user_timeout(Some(SILENCE_TIMEOUT))
 }
 
@@ -111,7 +112,8 @@
     }
 }
 
-/// The sending half of a connection. Its queue holds some megabytes; it fills if the receiver is slow.
+/// The sending half of a connection. Its queue holds some megabytes; it fills if the receiver is
+/// slow.
 pub struct Sender<Out> {
     queue: mpsc::Sender<Queued>,
     shared: Arc<Shared>,
@@ -171,8 +173,8 @@
         let _ = timeout(max_wait, level.wait_for(|it| *it > 0)).await;
     }
 
-    /// Returns the level that the other side has announced so far; 0 for none. Where packets are lost it
-    /// may arrive late, so callers check it for each message.
+    /// Returns the level that the other side has announced so far; 0 for none. Where packets are
+    /// lost it may arrive late, so callers check it for each message.
     pub fn level(&self) -> u8 {
         *self.shared.level.borrow()
     }
@@ -247,10 +249,12 @@
 }
 
 impl<In: DeserializeOwned> Receiver<In> {
-    /// Waits for the next message; returns `None` once the other side closed the connection. Cancel safe.
+    /// Waits for the next message; returns `None` once the other side closed the connection. Cancel
+    /// safe.
     ///
     /// # Errors
-    /// Returns an error where the connection ended otherwise: it is silent or broken, or received garbage.
+    /// Returns an error where the connection ended otherwise: it is silent or broken, or received
+    /// garbage.
     pub async fn recv(&mut self) -> StepResult<Option<In>> {
         let Some(queued) = self.incoming.queue.recv().await else {
             return match self.shared.cause() {
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,9 +1,9 @@
 //! The handshake: both sides prove that they hold the cluster secret.
 //!
-//! The dialer sends its hello and a nonce, the acceptor its own hello and nonce, then the dialer its
-//! proof, then the acceptor its proof. A proof is a MAC over both hellos and both nonces, so it is
-//! invalid on any other connection. The acceptor sends its proof last, so peers without the secret get
-//! no MAC from it.
+//! The dialer sends its hello and a nonce, the acceptor its own hello and nonce, then the dialer
+//! its proof, then the acceptor its proof. A proof is a MAC over both hellos and both nonces, so it
+//! is invalid on any other connection. The acceptor sends its proof last, so peers without the
+//! secret get no MAC from it.
 
 use std::fmt;
 
--- a/crates/wire/src/io_tasks.rs
+++ b/crates/wire/src/io_tasks.rs
@@ -191,7 +191,8 @@
             Ok(Some(queued)) => Some(queued),
             Ok(None) if receiver_dropped.is_cancelled() => break,
             Ok(None) => {
-                // No more messages will be sent, but heartbeats keep the connection open for the receiver.
+                // No more messages will be sent, but heartbeats keep the connection open for the
+                // receiver.
                 let _ = timeout(HEARTBEAT_INTERVAL, receiver_dropped.cancelled()).await;
                 None
             }
@@ -216,8 +217,8 @@
     Bytes::from_static(&[HEARTBEAT_TAG, LEVEL])
 }
 
-/// Writes one frame, or a heartbeat, and all frames that are queued behind it, then flushes once. Only
-/// then is their space in the queue freed.
+/// Writes one frame, or a heartbeat, and all frames that are queued behind it, then flushes once.
+/// Only then is their space in the queue freed.
 async fn write_queued(
     writer: &mut Writer,
     first: Option<Queued>,
--- a/crates/wire/src/listener.rs
+++ b/crates/wire/src/listener.rs
@@ -115,8 +115,8 @@
 async fn run(socket: TcpListener, acceptor: Arc<Acceptor>, accepted: mpsc::Sender<Connection>) {
     loop {
         // A peer that connects and sends nothing would block all others if the handshake ran here.
-        // Each handshake has its own task, and their number is limited, so that
-        // unauthenticated peers can't exhaust the memory.
+        // Each handshake has its own task, and their number is limited, so that unauthenticated
+        // peers can't exhaust the memory.
         let Ok(slot) = Arc::clone(&acceptor.handshakes).acquire_owned().await else {
             return;
         };
@@ -135,7 +135,8 @@
         let (acceptor, accepted) = (Arc::clone(&acceptor), accepted.clone());
         tokio::spawn(async move {
             match run_handshake(stream, peer, &acceptor, permit).await {
-                // The slot is held until `accept` returns the connection, which bounds the waiting ones.
+                // The slot is held until `accept` returns the connection, which bounds the waiting
+                // ones.
                 Ok(connection) => drop(accepted.send(connection).await),
                 Err(error) => acceptor.log_refusal("hello", &error, Some(peer)),
             }
--- a/crates/wire/src/log_throttle.rs
+++ b/crates/wire/src/log_throttle.rs
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Returns the number of lines suppressed since the last logged one, or `None` if this line must be
-    /// suppressed too.
+    /// Returns the number of lines suppressed since the last logged one, or `None` if this line
+    /// must be suppressed too.
     pub fn allow(&self) -> Option<u64> {
         let now_ms = self.start.elapsed().as_millis() as u64;
         let next_ms = self.next_ms.load(Ordering::Relaxed);
--- a/crates/wire/src/meter.rs
+++ b/crates/wire/src/meter.rs
@@ -13,7 +13,7 @@
 use crate::{SILENCE_TIMEOUT, WireError, traffic};
 
 /// The number of checks for progress within [`SILENCE_TIMEOUT`].
-const CHECKS: u32 = 4;
+const CHECKS_PER_TIMEOUT: u32 = 4;
 
 /// Counts the bytes that move in one direction.
 #[derive(Clone, Debug, Default)]
@@ -39,8 +39,8 @@
         let mut work = pin!(work);
         let mut seen = self.get();
         let mut idle = 0;
-        while idle < CHECKS {
-            if let Ok(done) = timeout(SILENCE_TIMEOUT / CHECKS, &mut work).await {
+        while idle < CHECKS_PER_TIMEOUT {
+            if let Ok(done) = timeout(SILENCE_TIMEOUT / CHECKS_PER_TIMEOUT, &mut work).await {
                 return Ok(done);
             }
             let now = self.get();
--- a/crates/wire/src/session.rs
+++ b/crates/wire/src/session.rs
@@ -25,7 +25,8 @@
         vm: VmName,
         /// The entry's site.
         site: SiteName,
-        /// The incarnation of the entry; it is committed to the state before the session serves claims.
+        /// The incarnation of the entry; it is committed to the state before the session serves
+        /// claims.
         owner: Incarnation,
         /// The version that the entry has in force; 0 for none.
         have: Version,
@@ -103,7 +104,8 @@
     Confirmed {
         /// The request's number.
         ticket: Ticket,
-        /// The version in force. If it was new to the entry, a `Service` message with it was sent before.
+        /// The version in force. If it was new to the entry, a `Service` message with it was sent
+        /// before.
         version: Version,
     },
     /// The answer to `Claim`, and to `Release` if the claim has already ended and can't be released.
@@ -194,7 +196,8 @@
     pub busy: Micros,
     /// The tokens of those calls.
     pub tokens: Tokens,
-    /// The busy time of calls whose result was not used: retried, cancelled or late calls, lost hedges.
+    /// The busy time of calls whose result was not used: retried, cancelled or late calls, lost
+    /// hedges.
     pub wasted: Micros,
 }
 
@@ -207,7 +210,8 @@
     pub owner: Incarnation,
     /// The sequence number of the report within its process, so that outdated reports are dropped.
     pub sequence: u64,
-    /// The calls in flight by upstream; if not `full`, only those that changed since the last full report.
+    /// The calls in flight by upstream; if not `full`, only those that changed since the last full
+    /// report.
     pub in_flight: Vec<(UpstreamName, u32)>,
     /// Whether `in_flight` contains every upstream with calls in flight.
     pub full: bool,
--- a/crates/wire/tests/connection.rs
+++ b/crates/wire/tests/connection.rs
@@ -124,8 +124,9 @@
     assert_eq!(within("a message", receiver.recv()).await.unwrap(), Some(vec![1]));
 }
 
-/// Guards against waiting forever for a peer that reads nothing: its process is paused, and its kernel
-/// accepts bytes until the buffers are full. A socket reports no error for writes without progress.
+/// Guards against waiting forever for a peer that reads nothing: its process is paused, and its
+/// kernel accepts bytes until the buffers are full. A socket reports no error for writes without
+/// progress.
 #[tokio::test]
 async fn a_peer_that_takes_nothing_is_found_and_the_queue_is_bounded() {
     let ((sender, mut receiver), (_hold, other)) = halves().await;
