--- a/crates/mothplank/benches/cluster.rs
+++ b/crates/mothplank/benches/cluster.rs
@@ -32,8 +32,8 @@
 /// How long idle processes are observed.
 const IDLE_SPAN: Duration = Duration::from_secs(30);
 
-/// Clock ticks per second, the unit of processor time in `/proc`.
-const CLOCK_TICKS: f64 = 100.0;
+/// The clock ticks per second in `/proc`, the unit of processor time there.
+const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Generates numbers of changes. Skips the multiples of 5, 7 and 11, which [`Operator::change`]
 /// treats specially.
@@ -237,7 +237,7 @@
     let stat = read(&format!("/proc/{id}/stat"));
     let rest = stat.rsplit(')').next().unwrap_or_default();
     let fields: Vec<f64> = rest.split_whitespace().map(|it| it.parse().unwrap_or(0.0)).collect();
-    (field("VmRSS:"), field("VmHWM:"), (fields[11] + fields[12]) / CLOCK_TICKS)
+    (field("VmRSS:"), field("VmHWM:"), (fields[11] + fields[12]) / TICKS_PER_SECOND)
 }
 
 /// Measures idle processes. The entries run on VMs without members, so that each link carries the
--- a/crates/mothplank/src/cli.rs
+++ b/crates/mothplank/src/cli.rs
@@ -128,7 +128,7 @@
             option(
                 "based-on",
                 "VERSION",
-                "The version that this change is based on [default: the version in force]",
+                "The version that this change is based on; by default the version in force",
             )
             .value_parser(value_parser!(u64)),
         )
@@ -136,7 +136,7 @@
             option(
                 "change-id",
                 "UUID",
-                "The id of the change, to resend one whose answer was lost [default: random]",
+                "The id of the change, to resend one whose answer was lost; by default a random one",
             )
             .value_parser(value_parser!(uuid::Uuid)),
         )
@@ -204,7 +204,7 @@
             option(
                 "change-id",
                 "UUID",
-                "The id of the mark, to resend one whose answer was lost [default: random]",
+                "The id of the mark, to resend one whose answer was lost; by default a random one",
             )
             .value_parser(value_parser!(uuid::Uuid)),
         )
@@ -221,7 +221,7 @@
                 .value_parser(value_parser!(u64)),
         )
         .arg(
-            option("to", "MS", "End of the time range, in ms since the Unix epoch [default: now]")
+            option("to", "MS", "End of the time range, in ms since the Unix epoch; by default now")
                 .value_parser(value_parser!(u64)),
         )
         .arg(file("csv", "Also write the rows as CSV"))
@@ -259,7 +259,7 @@
         .arg(file("key-file", "A file that holds the customer's key"))
         .arg(option("input", "JSON", "The input; @FILE reads a file").default_value("null"))
         .arg(
-            option("deadline-ms", "MS", "The deadline [default: the deadline of the pipeline]")
+            option("deadline-ms", "MS", "The deadline; by default that of the pipeline")
                 .value_parser(value_parser!(u64)),
         )
         .arg(
--- a/crates/mothplank/src/commands/demo.rs
+++ b/crates/mothplank/src/commands/demo.rs
@@ -147,8 +147,8 @@
 }
 
 /// Returns the duration of a stage's calls, so that the figures of the demo are not all zero.
-fn stage_time(pool: &str) -> Micros {
-    match pool {
+fn stage_time(kind: &str) -> Micros {
+    match kind {
         "encoder" => Micros(3_000),
         "retriever" => Micros(5_000),
         "reranker" => Micros(8_000),
--- a/crates/mothplank/src/commands/demo/stand_ins.rs
+++ b/crates/mothplank/src/commands/demo/stand_ins.rs
@@ -36,8 +36,8 @@
     pub(super) async fn spawn() -> StepResult<Self> {
         let mut addresses = Vec::new();
         let mut stages = Vec::new();
-        for (pool, placeholder) in STAGES {
-            let time = ServiceTime::Fixed(stage_time(pool));
+        for (kind, placeholder) in STAGES {
+            let time = ServiceTime::Fixed(stage_time(kind));
             let stage = stage::spawn(stage::Config { time, ..Default::default() }).await?;
             addresses.push((placeholder, stage.address()));
             stages.push(stage);
--- a/crates/mothplank/src/commands/logs/draw.rs
+++ b/crates/mothplank/src/commands/logs/draw.rs
@@ -16,7 +16,7 @@
 
 /// The series, stacked from the bottom to the top.
 const SERIES: [Series; 4] = [
-    ("in aim", RGBColor(60, 140, 70), |it| it.in_aim),
+    ("in aim", RGBColor(60, 140, 70), |it| it.on_target),
     ("late", RGBColor(230, 170, 50), |it| it.late),
     ("refused", RGBColor(90, 120, 200), |it| it.refused),
     ("failed", RGBColor(200, 60, 60), |it| it.failed),
--- a/crates/mothplank/src/commands/logs/line.rs
+++ b/crates/mothplank/src/commands/logs/line.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum RequestResult {
     /// Answered within the target time of its route.
-    InAim,
+    OnTarget,
     /// Answered after the target time.
     Late,
     /// Refused without having run; the caller may retry.
@@ -88,9 +88,9 @@
             return None;
         }
         let outcome = self.text("outcome")?;
-        let in_aim = self.number("age_ms")? <= self.number("target_ms").unwrap_or(u64::MAX);
+        let on_target = self.number("age_ms")? <= self.number("target_ms").unwrap_or(u64::MAX);
         let result = match outcome.parse::<u16>() {
-            Ok(200..300) if in_aim => RequestResult::InAim,
+            Ok(200..300) if on_target => RequestResult::OnTarget,
             Ok(200..300) => RequestResult::Late,
             Ok(429 | 503) => RequestResult::Refused,
             Ok(_) => RequestResult::Failed,
--- a/crates/mothplank/src/commands/logs/summary.rs
+++ b/crates/mothplank/src/commands/logs/summary.rs
@@ -12,7 +12,8 @@
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(crate) struct Counts {
     /// Answered within the target time.
-    pub(crate) in_aim: u64,
+    #[serde(rename = "in_aim")]
+    pub(crate) on_target: u64,
     /// Answered after the target time.
     pub(crate) late: u64,
     /// Refused without having run.
@@ -62,7 +63,7 @@
 impl Counts {
     fn add(&mut self, result: RequestResult) {
         let count = match result {
-            RequestResult::InAim => &mut self.in_aim,
+            RequestResult::OnTarget => &mut self.on_target,
             RequestResult::Late => &mut self.late,
             RequestResult::Refused => &mut self.refused,
             RequestResult::Failed => &mut self.failed,
@@ -72,7 +73,7 @@
     }
 
     fn cells(self) -> [u64; 5] {
-        [self.in_aim, self.late, self.refused, self.failed, self.denied]
+        [self.on_target, self.late, self.refused, self.failed, self.denied]
     }
 }
 
@@ -98,7 +99,7 @@
             }
             summary.seconds[second].add(it.result);
             match it.result {
-                RequestResult::InAim => {}
+                RequestResult::OnTarget => {}
                 RequestResult::Late => {
                     let times = stages.get(id).map_or(&[][..], Vec::as_slice);
                     let longest = times.iter().map(|it| it.wait + it.call).max();
--- a/crates/mothplank/tests/request_cost.rs
+++ b/crates/mothplank/tests/request_cost.rs
@@ -156,9 +156,10 @@
     let mut times = times.into_inner().unwrap();
     times.sort();
     let (median, high) = (quantile(&times, 0.5), quantile(&times, 0.99));
-    let a_second = total as f64 / took;
+    let rate = total as f64 / took;
     eprintln!(
-        "{CALLERS} callers: {a_second:.0} claims a second, median {median:.2} ms, p99 {high:.2} ms of {total}, \
+        "{CALLERS} callers: {rate:.0} claims a second, median {median:.2} ms, \
+         p99 {high:.2} ms of {total}, \
          {} refused and sent again",
         refused.load(Ordering::SeqCst)
     );
--- a/crates/mothplank/tests/request_drain.rs
+++ b/crates/mothplank/tests/request_drain.rs
@@ -24,7 +24,7 @@
 
 /// How long an entry keeps serving until the balancer notices, in milliseconds: much longer than
 /// the balancer takes, even on a busy machine.
-const NOTICE: u64 = 2_000;
+const NOTICE_MS: u64 = 2_000;
 
 /// The kinds of requests that are in flight all the time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -65,7 +65,7 @@
 
 /// Starts an environment with an additional slow engine for long answers.
 fn start() -> TestEnv {
-    let plan = Plan { controls: CONTROLS, entries: ENTRIES, notice: NOTICE, ..Plan::default() };
+    let plan = Plan { controls: CONTROLS, entries: ENTRIES, notice: NOTICE_MS, ..Plan::default() };
     let mut env = TestEnv::start(plan);
     // 16 tokens take 3 s, or nearly 7 s in the full size.
     let token = size(190_000, 420_000).to_string();
--- a/crates/mothplank/tests/request_silent.rs
+++ b/crates/mothplank/tests/request_silent.rs
@@ -19,7 +19,7 @@
 const UNCOUNTED: Duration = Duration::from_secs(1);
 
 /// The minimum share of the counted requests that must complete within their deadline.
-const MIN_SHARE: f64 = 0.99;
+const MIN_COMPLETE_SHARE: f64 = 0.99;
 
 /// A request that has ended.
 struct Ended {
@@ -80,7 +80,7 @@
         .filter(|it| it.sent >= cut_at + UNCOUNTED && !it.complete)
         .map(|it| it.why.as_str())
         .collect();
-    assert!(complete as f64 >= MIN_SHARE * all as f64, "{complete} of {all}: {late:#?}");
+    assert!(complete as f64 >= MIN_COMPLETE_SHARE * all as f64, "{complete} of {all}: {late:#?}");
 }
 
 /// Guards against calls to upstreams that hang until their deadline, as seen after a restart of a
--- a/crates/mothplank/tests/requests/balancer.rs
+++ b/crates/mothplank/tests/requests/balancer.rs
@@ -9,7 +9,7 @@
 use crate::env::Http;
 
 /// The interval of the readiness checks.
-const PERIOD: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running balancer, which stops on drop.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
                     let page = http.get(*entry, "/readyz");
                     ready.store(page.is_ok_and(|it| it.status == 200), Ordering::SeqCst);
                 }
-                thread::sleep(PERIOD);
+                thread::sleep(CHECK_INTERVAL);
             }
         });
         Self { entries, turn: AtomicUsize::new(0), stop, thread: Some(thread) }
--- a/crates/mothplank/tests/requests/history.rs
+++ b/crates/mothplank/tests/requests/history.rs
@@ -79,7 +79,7 @@
             }
         }
         assert!(by_key.is_empty(), "runs of keys that nobody sent: {by_key:?}");
-        assert!(broken.is_empty(), "broken promises:\n{broken}");
+        assert!(broken.is_empty(), "violated guarantees:\n{broken}");
     }
 
     fn print(&self, to: &mut String, attempts: &[Attempt], runs: &[&Run]) -> fmt::Result {
--- a/crates/mothplank/tests/requests/mod.rs
+++ b/crates/mothplank/tests/requests/mod.rs
@@ -15,11 +15,11 @@
 pub use stock::{Behavior, Run, Stock};
 
 /// The environment variable that selects the full sizes, with any value.
-const FULL: &str = "MOTHPLANK_FULL";
+const FULL_SIZES_VARIABLE: &str = "MOTHPLANK_FULL";
 
 /// Returns `full` if the full sizes are selected, otherwise `small`.
 pub fn size(small: usize, full: usize) -> usize {
-    if std::env::var_os(FULL).is_some() { full } else { small }
+    if std::env::var_os(FULL_SIZES_VARIABLE).is_some() { full } else { small }
 }
 
 /// Runs the steps one after the other, spread evenly over the progress of the work.
--- a/crates/mothplank/tests/requests/stock.rs
+++ b/crates/mothplank/tests/requests/stock.rs
@@ -140,8 +140,8 @@
         Ok(reply(200, call, &json!({"call": call, "output": output, "busy_us": 1})))
     }
 
-    /// Records a run, and so makes its effect, before any simulated fault can happen. Returns the
-    /// number of runs.
+    /// Records a run, which is the effect of the call, before any simulated fault can happen. Returns
+    /// the number of runs.
     fn record_run(&self, key: &str, body: &Value) -> usize {
         let request = body["request"].as_str().unwrap_or_default().to_owned();
         let mut runs = self.runs.lock().unwrap();
