--- a/crates/standins/examples/capacity/cluster.rs
+++ b/crates/standins/examples/capacity/cluster.rs
@@ -18,7 +18,7 @@
 use crate::http;
 use crate::sample::Usage;
 use crate::service::{self, SITES};
-use crate::{RATE, Sizes};
+use crate::{REQUESTS_PER_SECOND, Sizes};
 
 const CONTROL_COUNT: usize = 3;
 const ENGINE_COUNT: usize = 4;
@@ -121,8 +121,8 @@
         Ok(from.elapsed())
     }
 
-    /// Sends requests to every entry at [`RATE`] for `span`. Returns the number of requests that
-    /// were answered successfully.
+    /// Sends requests to every entry at [`REQUESTS_PER_SECOND`] for `span`. Returns the number of
+    /// requests that were answered successfully.
     pub(crate) fn call(&self, span: Duration) -> JoinHandle<u64> {
         let tasks = self.entries.iter().enumerate().map(|(number, (_, entry))| {
             let (client, entry, customers) = (self.client.clone(), *entry, self.sizes.customers);
@@ -208,7 +208,7 @@
     first: usize,
     span: Duration,
 ) -> u64 {
-    let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / RATE));
+    let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / REQUESTS_PER_SECOND));
     let until = Instant::now() + span;
     let mut complete = 0;
     let mut customer = first;
--- a/crates/standins/examples/capacity/main.rs
+++ b/crates/standins/examples/capacity/main.rs
@@ -26,7 +26,7 @@
 const CHANGE_COUNT: u64 = 5;
 
 /// The requests per second at each entry with `--load`: 2,300 per second over 380 nodes.
-pub(crate) const RATE: f64 = 6.0;
+pub(crate) const REQUESTS_PER_SECOND: f64 = 6.0;
 
 /// The sizes of one cluster.
 #[derive(Clone, Copy, Debug)]
--- a/crates/standins/examples/capacity/sample.rs
+++ b/crates/standins/examples/capacity/sample.rs
@@ -80,7 +80,8 @@
     /// Returns the header of the table.
     pub(crate) fn header() -> &'static str {
         "| entries | upstreams | customers | load | leader % core / MB / KB/s out / in \
-         | follower | entry | answered | streams, their tokens | in force ms, longest of 5 |\n|---|---|---|---|---|---|---|---|---|---|"
+         | follower | entry | answered | streams, their tokens | in force ms, longest of 5 |\n\
+         |---|---|---|---|---|---|---|---|---|---|"
     }
 
     /// Returns the row of the table.
@@ -91,7 +92,8 @@
         let Sizes { entries, upstreams, customers, load, streams } = self.sizes;
         let tokens = self.tokens;
         format!(
-            "| {entries} | {upstreams} | {customers} | {} | {} | {} | {} | {} | {streams}, {tokens} | {:.0} |",
+            "| {entries} | {upstreams} | {customers} | {} | {} | {} | {} | {} | \
+             {streams}, {tokens} | {:.0} |",
             if load { "yes" } else { "no" },
             self.mean(leader),
             self.mean(follower),
--- a/crates/standins/examples/common/mod.rs
+++ b/crates/standins/examples/common/mod.rs
@@ -17,9 +17,9 @@
 /// The operator's bearer token.
 pub(crate) const TOKEN: &str = "token-of-the-operator";
 
-/// The maximum number of attempts of a step.
-const MAX_POLLS: u32 = 600;
-/// The pause between two attempts of a step.
+/// The maximum number of tries of a step.
+const MAX_TRIES: u32 = 600;
+/// The pause between two tries of a step.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// An HTTP client that keeps its connections open.
@@ -96,13 +96,13 @@
 /// Retries a step until it succeeds.
 ///
 /// # Errors
-/// Returns the error of the last attempt if none succeeds.
+/// Returns the error of the last try if none succeeds.
 pub(crate) async fn retry<T, F: Future<Output = StepResult<T>>>(
     step: &'static str,
     f: impl Fn() -> F,
 ) -> StepResult<T> {
     let mut last = StepError::new(step, "not tried");
-    for _ in 0..MAX_POLLS {
+    for _ in 0..MAX_TRIES {
         match f().await {
             Ok(value) => return Ok(value),
             Err(e) => last = e,
--- a/crates/standins/examples/scenarios/cases.rs
+++ b/crates/standins/examples/scenarios/cases.rs
@@ -12,9 +12,9 @@
 /// For how long requests arrive.
 pub(crate) const LENGTH: Duration = Duration::from_secs(20);
 /// The start of the burst or fault.
-pub(crate) const FROM: Duration = Duration::from_secs(5);
+pub(crate) const EVENT_START: Duration = Duration::from_secs(5);
 /// The end of the burst or fault.
-pub(crate) const TO: Duration = Duration::from_secs(15);
+pub(crate) const EVENT_END: Duration = Duration::from_secs(15);
 
 /// The load of a burst, as a multiple of a pool's slots.
 const BURST_LOAD: f64 = 1.5;
@@ -69,9 +69,12 @@
     let down = || Faults { down: true, ..Faults::default() };
     let slow = || Faults { slow: SLOW_FACTOR, ..Faults::default() };
     let span = |set, faults| {
-        vec![(FROM, Event::Faults(set, faults)), (TO, Event::Faults(set, Faults::default()))]
+        vec![
+            (EVENT_START, Event::Faults(set, faults)),
+            (EVENT_END, Event::Faults(set, Faults::default())),
+        ]
     };
-    let cut = || vec![(FROM, Event::CutDigest), (TO, Event::HealDigest)];
+    let cut = || vec![(EVENT_START, Event::CutDigest), (EVENT_END, Event::HealDigest)];
     let case = |name, burst: Option<&str>, events| {
         let classes = size.pipelines.iter().map(|it| class(size, it, burst)).collect();
         Case { name, classes, events }
@@ -98,8 +101,8 @@
         None => false,
     };
     let bursts = burst.filter(|_| has_burst).map(|pool| Burst {
-        from: Millis(FROM.as_millis() as u64),
-        to: Millis(TO.as_millis() as u64),
+        from: Millis(EVENT_START.as_millis() as u64),
+        to: Millis(EVENT_END.as_millis() as u64),
         rate: Rate(rate + extra_rate(size, pipeline, pool)),
     });
     Class {
--- a/crates/standins/examples/scenarios/overhead.rs
+++ b/crates/standins/examples/scenarios/overhead.rs
@@ -23,7 +23,7 @@
 use crate::processes::Processes;
 
 /// The rate in requests per second, over each of the two transports, at which latency is measured.
-const RATE: u64 = 500;
+const REQUESTS_PER_SECOND: u64 = 500;
 /// The duration of the latency measurement.
 const SPAN: Duration = Duration::from_secs(10);
 /// The number of callers that send without pauses to measure the throughput.
@@ -56,7 +56,8 @@
             (quantile_ms(&direct_times, quantile), quantile_ms(&entry_times, quantile));
         let added = entry_ms - direct_ms;
         print_line(&format!(
-            "{RATE}/s, quantile {quantile}: direct {direct_ms:.3} ms, entry {entry_ms:.3} ms, \
+            "{REQUESTS_PER_SECOND}/s, quantile {quantile}: direct {direct_ms:.3} ms, \
+             entry {entry_ms:.3} ms, \
              added {added:.3} ms"
         ));
     }
@@ -75,10 +76,10 @@
     span: Duration,
 ) -> StepResult<Histogram<u64>> {
     let start = Instant::now();
-    let total = RATE * span.as_millis() as u64 / 1_000;
+    let total = REQUESTS_PER_SECOND * span.as_millis() as u64 / 1_000;
     let mut tasks = JoinSet::new();
     for number in 0..total {
-        let due = start + Duration::from_secs(1) * number as u32 / RATE as u32;
+        let due = start + Duration::from_secs(1) * number as u32 / REQUESTS_PER_SECOND as u32;
         tokio::time::sleep_until(due.into()).await;
         let (transport, request) = (transport.clone(), new_request(class, number));
         tasks.spawn(async move {
@@ -133,7 +134,7 @@
         pipeline: "one".parse().expect("a valid name"),
         key: key("one"),
         priority: Priority(0),
-        rate: Rate(RATE as f64),
+        rate: Rate(REQUESTS_PER_SECOND as f64),
         bursts: Vec::new(),
         deadline: Millis(5_000),
         tokens: 0,
@@ -157,19 +158,21 @@
     json!({
         "sites": {"north": site("a"), "middle": site("b"), "south": site("c")},
         "pools": {"one": {"kind": "encode", "upstreams": upstreams}},
-        "pipelines": {"one": {"stages": [{"name": "one", "pool": "one", "expected": 1}], "deadline": 5_000}},
+        "pipelines": {"one": {
+            "stages": [{"name": "one", "pool": "one", "expected": 1}], "deadline": 5_000,
+        }},
         "customers": {"one": {"keys": [key_hash(&key("one"))], "priority": 0, "pipelines": ["one"]}},
     })
     .to_string()
 }
 
 fn baseline(stages: &[Stage]) -> Baseline {
-    let hop = BaselineStage {
+    let stage = BaselineStage {
         name: "one".to_owned(),
         kind: PoolKind::Encode,
         upstreams: stages.iter().map(Stage::address).collect(),
         path: None,
     };
-    let pipelines = [("one".parse().expect("a valid name"), vec![hop])].into_iter().collect();
+    let pipelines = [("one".parse().expect("a valid name"), vec![stage])].into_iter().collect();
     Baseline { pipelines, attempts: 1, timeout: Millis(0) }
 }
--- a/crates/standins/examples/scenarios/result_row.rs
+++ b/crates/standins/examples/scenarios/result_row.rs
@@ -4,7 +4,7 @@
 
 use standins::load::{Report, RequestResult};
 
-use crate::cases::{Case, Event, FROM, TO, UpstreamSet};
+use crate::cases::{Case, EVENT_END, EVENT_START, Event, UpstreamSet};
 use crate::sizes::{Pool, Size};
 use crate::upstreams::Upstreams;
 
@@ -31,8 +31,10 @@
     /// Returns the header of the table.
     pub(crate) fn header() -> String {
         "| run | attainment by priority, % | goodput, % of what the tightest pool had left | \
-         with late answers, % | work per completed, times the least | normal after, s | sendings per request | \
-         crossed or incomplete | unanswered |\n|---|---|---|---|---|---|---|---|---|"
+         with late answers, % | work per completed, times the least | normal after, s | \
+         sendings per request | \
+         crossed or incomplete | unanswered |\n\
+         |---|---|---|---|---|---|---|---|---|"
             .to_owned()
     }
 
@@ -49,7 +51,7 @@
             throughput,
             bottleneck,
             work: upstreams.busy() / min_work(report, size),
-            recovery: report.recovery(TO),
+            recovery: report.recovery(EVENT_END),
             wrong: report.count(RequestResult::Crossed) + report.count(RequestResult::Incomplete),
             unanswered: report.count(RequestResult::Unanswered),
             attempts_per_request: attempts as f64 / report.records.len().max(1) as f64,
@@ -92,15 +94,16 @@
     work.sum::<f64>().max(f64::MIN_POSITIVE)
 }
 
-/// Returns the name, goodput and throughput of the bottleneck pool between [`FROM`] and [`TO`].
+/// Returns the name, goodput and throughput of the bottleneck pool between [`EVENT_START`] and
+/// [`EVENT_END`].
 ///
 /// The bottleneck is the pool with the highest demand relative to its capacity. The goodput is its
 /// work for requests that completed in time, relative to the smaller of demand and capacity. The
 /// throughput also counts those that completed late: callers don't give up after the deadline, so
 /// late answers occupy slots too.
 fn goodput(report: &Report, size: &Size, case: &Case) -> (&'static str, f64, f64) {
-    let span = (TO - FROM).as_secs_f64();
-    let within = |at: Duration| FROM <= at && at < TO;
+    let span = (EVENT_END - EVENT_START).as_secs_f64();
+    let within = |at: Duration| EVENT_START <= at && at < EVENT_END;
     let demand = |pool: &Pool| -> f64 {
         let arrived = report.records.iter().filter(|it| within(it.at));
         arrived.map(|it| size.pipelines[it.class].work(pool)).sum()
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -11,7 +11,7 @@
 use crate::http::{self, Reply};
 
 /// The length of a cached block of a prompt, in bytes.
-pub const BLOCK: usize = 64;
+pub const BLOCK_BYTES: usize = 64;
 
 /// The maximum number of events kept for readers.
 const MAX_EVENTS: usize = 4_096;
@@ -56,10 +56,10 @@
 }
 
 /// Returns the hashes of all prefixes of `prompt` that consist of whole blocks, shortest first: the
-/// 64-bit FNV-1a of the first [`BLOCK`], twice [`BLOCK`], .. bytes.
+/// 64-bit FNV-1a of the first [`BLOCK_BYTES`], twice [`BLOCK_BYTES`], .. bytes.
 pub fn prefixes(prompt: &str) -> Vec<u64> {
     let mut hash = None;
-    let blocks = prompt.as_bytes().chunks_exact(BLOCK);
+    let blocks = prompt.as_bytes().chunks_exact(BLOCK_BYTES);
     let step = |block| {
         let next = text::extend_hash(hash, block);
         hash = Some(next);
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -23,7 +23,7 @@
 use crate::slots::Slots;
 use crate::worker;
 
-pub use cache::{BLOCK, prefixes};
+pub use cache::{BLOCK_BYTES, prefixes};
 pub use orders::{Order, OrderStatus};
 pub use text::{full_text, token};
 
--- a/crates/standins/src/load/mod.rs
+++ b/crates/standins/src/load/mod.rs
@@ -53,17 +53,17 @@
 /// stage's upstreams.
 pub async fn run(scenario: &Scenario) -> StepResult<Report> {
     match &scenario.policy {
-        Policy::Mothplank => Ok(drive(scenario, EntryTransport::open(&scenario.entries)?).await),
+        Policy::Mothplank => Ok(run_with(scenario, EntryTransport::open(&scenario.entries)?).await),
         Policy::Baseline(baseline) => {
             let direct = DirectTransport::open(baseline, &scenario.classes)?;
-            Ok(drive(scenario, direct).await)
+            Ok(run_with(scenario, direct).await)
         }
     }
 }
 
 /// Runs a scenario over a transport. Each request is sent at its arrival, no matter how long
 /// earlier answers take.
-pub async fn drive<P: Transport>(scenario: &Scenario, transport: P) -> Report {
+pub async fn run_with<P: Transport>(scenario: &Scenario, transport: P) -> Report {
     let classes: Vec<Arc<Class>> = scenario.classes.iter().cloned().map(Arc::new).collect();
     let schedule = arrivals::schedule(scenario);
     let transport = Arc::new(transport);
--- a/crates/standins/tests/load.rs
+++ b/crates/standins/tests/load.rs
@@ -152,7 +152,7 @@
         pause: Millis(1),
         policy: load::Policy::Mothplank,
     };
-    let report = load::drive(&scenario, AnswerSecond(Default::default())).await;
+    let report = load::run_with(&scenario, AnswerSecond(Default::default())).await;
     let class = &report.classes[0];
     assert!(class.requests > 0);
     assert_eq!(class.requests, report.records.len() as u64);
