--- a/crates/control/src/session.rs
+++ b/crates/control/src/session.rs
@@ -103,7 +103,7 @@
                 }
                 EntryMessage::NeedWhole => self.need_full.notify_one(),
                 EntryMessage::Draining => self.sessions.record_draining(self.number),
-                EntryMessage::Behind { version, why } => {
+                EntryMessage::VersionRejected { version, why } => {
                     self.sessions.record_rejected_version(self.number, version, why);
                 }
                 EntryMessage::Confirm { ticket, have } => {
--- a/crates/follower/src/session/offers.rs
+++ b/crates/follower/src/session/offers.rs
@@ -106,7 +106,7 @@
 
     pub(super) fn report_rejected_version(&self, sender: &EntrySender) {
         if let Some((version, why)) = self.rejected_version.clone() {
-            send(sender, &EntryMessage::Behind { version, why });
+            send(sender, &EntryMessage::VersionRejected { version, why });
         }
     }
 }
--- a/crates/follower/tests/version.rs
+++ b/crates/follower/tests/version.rs
@@ -117,7 +117,7 @@
     let broken = Document { base: "{ not a document".to_owned(), ..document() };
     session.send(ControlMessage::Service { version: Version(2), document: broken }).await;
     let told = session.next().await;
-    assert!(matches!(told, EntryMessage::Behind { version: Version(2), .. }), "{told:?}");
+    assert!(matches!(told, EntryMessage::VersionRejected { version: Version(2), .. }), "{told:?}");
     assert_eq!(follower.service().unwrap().service.version, Version(1));
     assert!(follower.view().rejected.is_some());
 
--- a/crates/wire/src/session.rs
+++ b/crates/wire/src/session.rs
@@ -73,7 +73,7 @@
     NeedWhole,
     /// Reports that the entry rejects a version because it can't resolve it for its site. An older
     /// version stays in force there.
-    Behind {
+    VersionRejected {
         /// The rejected version.
         version: Version,
         /// The reason, for operators.
