--- a/crates/control/src/control.rs
+++ b/crates/control/src/control.rs
@@ -93,7 +93,8 @@
     let opened = folder::open(&part.data, &settings.vm)?;
     let node = opened.id;
     // Logs the duration, because a stalled disk delays the start at this point only.
-    log::info!(folder:% = part.data.display(), node:% = node, ms = started.elapsed().as_millis() as u64;
+    log::info!(folder:% = part.data.display(), node:% = node,
+        ms = started.elapsed().as_millis() as u64;
         "opened the data folder");
     let hello = Hello { kind: Kind::Member, vm: settings.vm.clone(), node: node.0 };
     let listener = Listener::bind(this_member.wire, &secret, hello.clone()).await?;
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -21,7 +21,8 @@
 pub(crate) const KEY_HEADER: &str = "idempotency-key";
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// The maximum number of tokens that a stage generates if neither the caller nor the stage sets one.
+/// The maximum number of tokens that a stage generates if neither the caller nor the stage sets
+/// one.
 const DEFAULT_MAX_TOKENS: Tokens = Tokens(256);
 
 /// A request that passed all checks.
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -22,16 +22,16 @@
 use crate::shared_run::{RunKey, SharedRun};
 use crate::sink::{EventSink, Item, NoSink};
 
-/// How long past its deadline a request waits for the outcome of its run, which tells the caller more
-/// than a timeout does.
+/// How long past its deadline a request waits for the outcome of its run, which tells the caller
+/// more than a timeout does.
 const OUTCOME_WAIT: Duration = Duration::from_millis(250);
 
-/// The maximum number of events that wait for a caller. Once they are as many, the run waits for the
-/// caller to read.
+/// The maximum number of events that wait for a caller. Once they are as many, the run waits for
+/// the caller to read.
 const MAX_QUEUED_EVENTS: usize = 64;
 
-/// The maximum number of tokens that wait for a caller whose run does not wait for it; far more than
-/// an engine generates within any deadline.
+/// The maximum number of tokens that wait for a caller whose run does not wait for it; far more
+/// than an engine generates within any deadline.
 const MAX_QUEUED_TOKENS: u64 = 1 << 20;
 
 /// Starts a request and returns the receiver of its items.
