--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -7,15 +7,16 @@
 
 use common::{name, service, upstream};
 use fleet::Target;
+use fleet::availability::{Answer, Observation, derive_availability};
 use fleet::bucket::WeightBucket;
 use fleet::digest::DigestMaker;
 use fleet::load::EntryLoads;
 use fleet::plan::{Decision, Engine, LoadState, Plan, ReadBack};
 use fleet::platform::{ListFault, ListedVm, Platform, VmList, VmState};
-use fleet::standing::{Answer, Observation, standings};
-use types::UpstreamStanding::{Leaving, Live};
+use types::UpstreamAvailability::{Leaving, Live};
 use types::{
-    ByteSize, Fence, Fencing, Incarnation, Millis, Rate, Service, UpstreamLoad, UpstreamStanding,
+    ByteSize, Fence, Fencing, Incarnation, Millis, Rate, Service, UpstreamAvailability,
+    UpstreamLoad,
 };
 use wire::session::LoadReport;
 
@@ -74,15 +75,15 @@
     struct Case {
         name: &'static str,
         seen: fn(&mut Observation),
-        standing: UpstreamStanding,
+        availability: UpstreamAvailability,
     }
     let refuse = |it: &mut Observation| (0..3).for_each(|_| it.record_poll(Answer::Refused));
     let cases = [
-        Case { name: "nothing seen", seen: |_| {}, standing: Live },
-        Case { name: "platform", seen: |it| it.platform = Some(true), standing: Leaving },
-        Case { name: "absent", seen: |it| it.platform = None, standing: Live },
-        Case { name: "mark", seen: |it| it.set_mark(true), standing: Leaving },
-        Case { name: "drain", seen: |it| it.record_poll(Answer::Draining), standing: Leaving },
+        Case { name: "nothing seen", seen: |_| {}, availability: Live },
+        Case { name: "platform", seen: |it| it.platform = Some(true), availability: Leaving },
+        Case { name: "absent", seen: |it| it.platform = None, availability: Live },
+        Case { name: "mark", seen: |it| it.set_mark(true), availability: Leaving },
+        Case { name: "drain", seen: |it| it.record_poll(Answer::Draining), availability: Leaving },
         Case {
             name: "drain, then silence",
             seen: |it| {
@@ -90,15 +91,15 @@
                 it.record_poll(Answer::NoAnswer);
                 it.record_poll(Answer::Refused);
             },
-            standing: Leaving,
+            availability: Leaving,
         },
         Case {
-            name: "drain, then its own word",
+            name: "drain, then its own report",
             seen: |it| {
                 it.record_poll(Answer::Draining);
                 it.record_poll(Answer::Serving);
             },
-            standing: Live,
+            availability: Live,
         },
         Case {
             name: "drain, then a mark taken back",
@@ -107,29 +108,33 @@
                 it.set_mark(true);
                 it.set_mark(false);
             },
-            standing: Live,
+            availability: Live,
         },
-        Case { name: "refused once", seen: |it| it.record_poll(Answer::Refused), standing: Live },
-        Case { name: "refused", seen: refuse, standing: Leaving },
-        Case { name: "handed over", seen: |it| it.inherited = true, standing: Leaving },
         Case {
-            name: "handed over, then its own word",
+            name: "refused once",
+            seen: |it| it.record_poll(Answer::Refused),
+            availability: Live,
+        },
+        Case { name: "refused", seen: refuse, availability: Leaving },
+        Case { name: "inherited", seen: |it| it.inherited = true, availability: Leaving },
+        Case {
+            name: "inherited, then its own report",
             seen: |it| {
                 it.inherited = true;
                 it.record_poll(Answer::Serving);
                 it.drop_superseded(true);
             },
-            standing: Live,
+            availability: Live,
         },
         Case {
-            name: "handed over, then its word, but not the platform's",
+            name: "inherited, then its own report, but not the platform's",
             seen: |it| {
                 it.inherited = true;
                 it.platform = Some(true);
                 it.record_poll(Answer::Serving);
                 it.drop_superseded(true);
             },
-            standing: Leaving,
+            availability: Leaving,
         },
     ];
     let address = "127.0.0.1:9".parse().unwrap();
@@ -140,17 +145,17 @@
         let mut observation = Observation::default();
         (case.seen)(&mut observation);
         let mut observations = BTreeMap::from([(name("one"), observation)]);
-        let judged = standings(pool, &observations);
-        assert_eq!(judged[&name("one")].standing, case.standing, "{}", case.name);
-        assert_eq!(judged[&name("two")].standing, Live, "{}", case.name);
+        let derived = derive_availability(pool, &observations);
+        assert_eq!(derived[&name("one")].availability, case.availability, "{}", case.name);
+        assert_eq!(derived[&name("two")].availability, Live, "{}", case.name);
         // Refused connections alone never remove the last upstream of a pool.
         let mut other = Observation::default();
         refuse(&mut other);
         observations.insert(name("two"), other);
         let all_refuse = observations[&name("one")].refused >= 3;
-        let expected = if all_refuse || case.standing == Leaving { Live } else { Leaving };
+        let expected = if all_refuse || case.availability == Leaving { Live } else { Leaving };
         assert_eq!(
-            standings(pool, &observations)[&name("two")].standing,
+            derive_availability(pool, &observations)[&name("two")].availability,
             expected,
             "{}",
             case.name
@@ -209,13 +214,13 @@
     }
 }
 
-fn load(index: usize, in_flight: u32, standing: UpstreamStanding) -> UpstreamLoad {
+fn load(index: usize, in_flight: u32, availability: UpstreamAvailability) -> UpstreamLoad {
     UpstreamLoad {
         upstream: name(&format!("u{index}")),
         in_flight,
         reported: None,
         report_age: Millis(0),
-        standing,
+        availability,
     }
 }
 
@@ -232,11 +237,11 @@
     let delta = maker.make(&loads, 2, start).unwrap();
     assert_eq!((delta.sequence, delta.loads), (12, vec![load(7, 4, Live)]));
 
-    // Everything changes: a changed standing comes first, then the largest changes.
+    // Everything changes: changed availability comes first, then the largest changes.
     for (index, it) in loads.iter_mut().enumerate() {
         it.in_flight += 1 + index as u32;
     }
-    loads[0].standing = Leaving;
+    loads[0].availability = Leaving;
     let bound = maker.make(&loads, 2, start).unwrap().loads;
     assert_eq!(bound.len(), 192);
     assert_eq!((bound[0].upstream.clone(), bound[1].upstream.clone()), (name("u0"), name("u299")));
@@ -250,14 +255,14 @@
     let at = |seconds| start + Duration::from_secs(seconds);
     let mut maker = DigestMaker::new(0);
     let mut loads: Vec<UpstreamLoad> = (0..600).map(|it| load(it, 0, Live)).collect();
-    loads[3].standing = Leaving;
+    loads[3].availability = Leaving;
     loads.iter_mut().for_each(|it| it.reported = Some(0));
     maker.make(&loads, 8, start).expect("the full one");
     // Each upstream was polled again with the same result, so the reports are fresh.
     assert_eq!(maker.make(&loads, 8, at(1)), None);
     let named = maker.make(&loads, 8, at(2)).expect("the leaving one").loads;
     assert_eq!(named, [loads[3].clone()]);
-    loads[3].standing = Live;
+    loads[3].availability = Live;
     let named = maker.make(&loads, 8, at(3)).expect("it came back").loads;
     assert_eq!(named, [loads[3].clone()]);
     assert_eq!(maker.make(&loads, 8, at(9)), None);
@@ -322,13 +327,19 @@
         case("old", checks, 0, |it, t, at| show(it, t, at, "v1", Ready), "order"),
         case("none", checks, 0, |it, t, at| show(it, t, at, "", Ready), "order"),
         case(
-            "astray",
+            "loads something else",
             checks,
             0,
             |it, t, at| show(it, t, at, "v1", Loading),
             "it loads something else",
         ),
-        case("astray for long", checks, 1_000, |it, t, at| show(it, t, at, "v1", Loading), "order"),
+        case(
+            "loads something else for long",
+            checks,
+            1_000,
+            |it, t, at| show(it, t, at, "v1", Loading),
+            "order",
+        ),
         case(
             "early",
             ignores,
--- a/crates/fleet/tests/observations.rs
+++ b/crates/fleet/tests/observations.rs
@@ -1,4 +1,5 @@
-//! Standing and load over HTTP: from the platform, upstreams, operators and entries to a digest.
+//! Availability and load over HTTP: from the platform, upstreams, operators and entries to a
+//! digest.
 
 mod common;
 
@@ -10,12 +11,12 @@
 use common::{Fake, Quorum, name, service, until, upstream};
 use fleet::{Fleet, FleetConfig};
 use serde_json::json;
-use types::UpstreamStanding::{Leaving, Live};
-use types::{Digest, Fencing, Incarnation, Millis, UpstreamLoad, UpstreamStanding};
+use types::UpstreamAvailability::{Leaving, Live};
+use types::{Digest, Fencing, Incarnation, Millis, UpstreamAvailability, UpstreamLoad};
 use wire::session::LoadReport;
 
-fn standing(fleet: &Fleet, upstream: &str) -> Option<UpstreamStanding> {
-    fleet.view().upstreams.get(&name(upstream)).map(|it| it.standing)
+fn availability(fleet: &Fleet, upstream: &str) -> Option<UpstreamAvailability> {
+    fleet.view().upstreams.get(&name(upstream)).map(|it| it.availability)
 }
 
 /// Guards against work for an upstream that is leaving, and against a pool that gets no work at
@@ -25,7 +26,11 @@
 async fn leaving_is_sticky_and_an_empty_list_is_ignored() {
     let (one, two, platform) =
         (Fake::spawn(true, 0).await, Fake::spawn(true, 0).await, { Fake::spawn(true, 0).await });
-    let list = |sequence: u64, state: &str| json!({"sequence": sequence, "vms": [{"vm": "a", "state": state}]});
+    let list = |sequence: u64, state: &str| {
+        json!({
+            "sequence": sequence, "vms": [{"vm": "a", "state": state}]
+        })
+    };
     platform.set_list(list(1, "live"));
     let config = FleetConfig { platform: Some(platform.address) };
     let (fleet, _digests) = Fleet::spawn(config, Quorum::default());
@@ -34,22 +39,22 @@
         ("two", upstream(two.address, "b", Fencing::Checks)),
     ];
     fleet.lead(Arc::new(service("v1", &engines)));
-    until("both live", || standing(&fleet, "one") == Some(Live)).await;
+    until("both live", || availability(&fleet, "one") == Some(Live)).await;
 
     platform.set_list(list(2, "leaving"));
-    until("one leaves", || standing(&fleet, "one") == Some(Leaving)).await;
+    until("one leaves", || availability(&fleet, "one") == Some(Leaving)).await;
     platform.set_list(json!({"sequence": 3, "vms": []}));
     until("the list is ignored", || fleet.view().platform.is_some()).await;
-    assert_eq!(standing(&fleet, "one"), Some(Leaving));
+    assert_eq!(availability(&fleet, "one"), Some(Leaving));
     platform.set_list(list(4, "live"));
-    until("one is back", || standing(&fleet, "one") == Some(Live)).await;
+    until("one is back", || availability(&fleet, "one") == Some(Live)).await;
 
     two.draining.store(true, Ordering::SeqCst);
-    until("two drains", || standing(&fleet, "two") == Some(Leaving)).await;
+    until("two drains", || availability(&fleet, "two") == Some(Leaving)).await;
     fleet.set_marks(BTreeSet::from([name("one")]));
-    until("one is marked", || standing(&fleet, "one") == Some(Leaving)).await;
+    until("one is marked", || availability(&fleet, "one") == Some(Leaving)).await;
     two.draining.store(false, Ordering::SeqCst);
-    until("two is back", || standing(&fleet, "two") == Some(Live)).await;
+    until("two is back", || availability(&fleet, "two") == Some(Live)).await;
 }
 
 #[tokio::test]
@@ -71,7 +76,7 @@
     let digest = digest.await.unwrap().unwrap();
     assert_eq!(digest.entries, 2);
     let load = &digest.loads[0];
-    assert_eq!((load.in_flight, load.reported, load.standing), (7, Some(3), Live));
+    assert_eq!((load.in_flight, load.reported, load.availability), (7, Some(3), Live));
 }
 
 /// Guards against work for an upstream that was leaving, after a change of leader. The new leader
@@ -86,12 +91,12 @@
         in_flight: 0,
         reported: None,
         report_age: Millis(0),
-        standing: Leaving,
+        availability: Leaving,
     };
     fleet.take_digest(&Digest { sequence: 1, loads: vec![load], entries: 1 });
     let spec = upstream(gone, "a", Fencing::Checks);
     fleet.lead(Arc::new(service("v1", &[("one", spec)])));
     let digest = tokio::time::timeout(std::time::Duration::from_secs(60), digests.recv());
     let digest = digest.await.unwrap().unwrap();
-    assert_eq!(digest.loads[0].standing, Leaving);
+    assert_eq!(digest.loads[0].availability, Leaving);
 }
--- a/crates/gateway/src/batch/queue/upstream_state.rs
+++ b/crates/gateway/src/batch/queue/upstream_state.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 /// How long space counts as taken after an upstream had none for a result.
-const FULL_HOLD: Duration = Duration::from_millis(700);
+const RESERVE_TIME: Duration = Duration::from_millis(700);
 
 /// The share of the upstream's space that is filled, because result sizes are approximate.
 const USABLE_SHARE: f64 = 0.94;
@@ -89,11 +89,11 @@
         self.foreign = self.foreign.filter(|it| it.0 > 0 && it.1 > now);
     }
 
-    /// Returns the free bytes, of `room` in all.
-    pub(super) fn free(&self, room: u64, now: Instant) -> u64 {
+    /// Returns the free bytes of an upstream that has `space` bytes for results.
+    pub(super) fn free(&self, space: u64, now: Instant) -> u64 {
         let kept: u64 = self.results.iter().map(|it| it.size).sum();
-        let used = (room as f64 * USABLE_SHARE) as u64;
-        used.saturating_sub(kept + self.foreign_bytes(now))
+        let usable = (space as f64 * USABLE_SHARE) as u64;
+        usable.saturating_sub(kept + self.foreign_bytes(now))
     }
 
     /// Returns the bytes that results of other owners take.
@@ -114,9 +114,9 @@
         self.results.push(StoredResult { size, until, handle });
     }
 
-    /// Counts the size of a result that found no space as taken for [`FULL_HOLD`].
+    /// Counts the size of a result that found no space as taken for [`RESERVE_TIME`].
     pub(super) fn reserve(&mut self, size: u64, now: Instant) {
-        self.add_result(size, Arc::from(""), now + FULL_HOLD);
+        self.add_result(size, Arc::from(""), now + RESERVE_TIME);
     }
 
     /// Removes results. Unknown ones belonged to another owner; each counts as `size` bytes.
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -10,11 +10,11 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use crate::dialect::{AnswerHead, Dialect, Handle, PieceAnswer, PieceCall, RoomReport};
+use crate::dialect::{AnswerHead, Dialect, Handle, PieceAnswer, PieceCall, SpaceReport};
 use crate::upstream::{ConnectError, Lease, Upstream};
 
 /// The largest answer to one of the entry's own calls, in bytes.
-const OWN_ANSWER_LIMIT: usize = 1 << 20;
+const MAX_OWN_ANSWER_BYTES: usize = 1 << 20;
 
 /// The timeout of a call that frees results.
 const FREE_TIMEOUT: Duration = Duration::from_millis(800);
@@ -182,9 +182,9 @@
     }
 }
 
-/// Reads a whole body of at most [`OWN_ANSWER_LIMIT`] bytes.
+/// Reads a whole body of at most [`MAX_OWN_ANSWER_BYTES`] bytes.
 async fn read_short(body: &mut Incoming, deadline: Instant) -> Result<Bytes, Fault> {
-    match read_body(body, OWN_ANSWER_LIMIT, deadline).await.map_err(Fault::unknown)? {
+    match read_body(body, MAX_OWN_ANSWER_BYTES, deadline).await.map_err(Fault::unknown)? {
         Read::Whole(bytes) => Ok(bytes),
         Read::More(_) => Err(Fault::unknown(Cause::Malformed("too large"))),
     }
@@ -228,18 +228,18 @@
     Ok(answer)
 }
 
-/// Asks an upstream how much memory it has left for results.
-pub(crate) async fn room<D: Dialect>(
+/// Asks an upstream how much space it has left for results.
+pub(crate) async fn query_space<D: Dialect>(
     upstream: &Arc<Upstream>,
     deadline: Instant,
-) -> Result<RoomReport, Fault> {
+) -> Result<SpaceReport, Fault> {
     let mut request = own_call::<D>(upstream, D::REPORT_PATH, Bytes::new(), deadline);
     *request.method_mut() = Method::GET;
     let Opened { mut response, lease, head } = send::<D>(upstream, request, "", deadline).await?;
     let body = read_short(response.body_mut(), deadline).await?;
     lease.keep(head.keep_alive);
     match response.status() {
-        StatusCode::OK => Ok(D::decode_room(&body)),
+        StatusCode::OK => Ok(D::decode_space(&body)),
         status => Err(Fault::refused(status)),
     }
 }
